--- a/adapter/drill.cpp
+++ b/adapter/drill.cpp
@@ -71,17 +71,17 @@
 Settings settings(const json& p) {
     Settings s;
     for (const auto& g : array(p, "grades")) {
-        Grade grade;
+        MessageClass grade;
         grade.effect = oneOf<Effect>(
             g, "effect", {{"pure", Effect::pure}, {"token", Effect::keyed}, {"side_effect", Effect::unsafe}});
         grade.keyScope = get<std::string>(g, "key-scope", "all") == "all" ? KeyScope::all : KeyScope::zone;
         grade.keyWindow = span(g, "key-ttl-ns");
-        grade.aim = span(g, "slo-ns");
-        grade.giveUp = span(g, "give-up-ns");
-        grade.worth = get(g, "credit", 1.0);
-        grade.lateShare = get(g, "late-share", 0.0);
+        grade.deliveryTarget = span(g, "slo-ns");
+        grade.timeToLive = span(g, "give-up-ns");
+        grade.value = get(g, "credit", 1.0);
+        grade.lateValueShare = get(g, "late-share", 0.0);
         grade.inOrder = get(g, "in-turn", false);
-        s.grades.push_back(grade);
+        s.messageClasses.push_back(grade);
     }
     const json& domain = object(p, "domain");
     const json& apart = array(domain, "separate-routes");
@@ -90,31 +90,32 @@
         s.kinds[i].separateRoutes = as<bool>(apart[i], "separate-routes");
     s.senders = get(p, "balancers", 1);
     s.slots = need<int>(domain, "max-calls");
-    s.decay = get<std::string>(domain, "loses-worth", "even") == "by_half" ? Decay::halves : Decay::even;
+    s.decay =
+        get<std::string>(domain, "loses-worth", "even") == "by_half" ? Decay::exponential : Decay::linear;
     const json& limits = object(p, "limits");
     s.maxHeld = need<int>(limits, "max-open");
     s.maxAttempts = need<int>(limits, "attempts-cap");
     s.mayCancel = get(limits, "cancelling", false);
-    s.maxAdvice = span(limits, "max-retry-after-ns");
+    s.maxRetryAfter = span(limits, "max-retry-after-ns");
     s.connectTimeout = span(limits, "connect-timeout-ns");
     s.keepAlive = span(limits, "keepalive-ns");
     s.listOnRequest = get<std::string>(p, "membership-mode", "pushed") == "on_request";
     const auto weights = get<std::string>(p, "weights", "none");
     s.weights = weights == "nominal" ? Weights::nominal : weights == "rough" ? Weights::rough : Weights::none;
     const json& safety = object(p, "safety");
-    s.coldFrom = get(safety, "cold-from", 1.0);
+    s.coldCapacityShare = get(safety, "cold-from", 1.0);
     s.warmUp = span(safety, "warm-up-ns");
-    s.fallMultiple = get(safety, "fall-multiple", 0.0);
-    s.orderSettle = span(safety, "order-settle-ns");
+    s.overloadMultiple = get(safety, "fall-multiple", 0.0);
+    s.orderingPause = span(safety, "order-settle-ns");
     return s;
 }
 
 Outcome outcome(const json& o) {
     static const std::map<std::string, Result> results{
         {"delivered", Result::delivered}, {"app_error", Result::error},
-        {"shed", Result::full},           {"expired", Result::timeout},
+        {"shed", Result::rejected},       {"expired", Result::timeout},
         {"dropped", Result::reset},       {"dial_failed", Result::connectFailed},
-        {"revoked", Result::cancelled},   {"unused", Result::moot}};
+        {"revoked", Result::cancelled},   {"unused", Result::notForwarded}};
     Outcome out;
     out.id = need<std::string>(o, "handle");
     out.endpoint = need<std::string>(o, "receiver");
@@ -122,21 +123,21 @@
     out.result = oneOf(o, "result", results);
     out.took = span(o, "cost-time-ns");
     const auto note = get<std::int64_t>(o, "wait-ms", 0);
-    if (out.result == Result::full) out.wait = std::chrono::milliseconds(note);
-    out.over = get(o, "over", false);
+    if (out.result == Result::rejected) out.retryAfter = std::chrono::milliseconds(note);
+    out.concluded = get(o, "over", false);
     const json& usage = object(o, "usage");
     if (usage.contains("x0")) out.allowanceLeft = as<double>(usage["x0"], "x0");
     if (usage.contains("x1")) out.allowedRate = as<double>(usage["x1"], "x1");
     return out;
 }
 
-Handed handed(const json& o) {
-    Handed h;
+MessageAccepted handed(const json& o) {
+    MessageAccepted h;
     h.id = need<std::string>(o, "handle");
     h.destination = need<std::uint64_t>(o, "to-exchange");
-    h.grade = get(o, "service", 0);
-    h.grace = Duration(need<std::int64_t>(o, "grace-ns"));
-    if (o.contains("entity") && !o["entity"].is_null()) h.key = as<std::uint64_t>(o["entity"], "entity");
+    h.messageClass = get(o, "service", 0);
+    h.timeLeft = Duration(need<std::int64_t>(o, "grace-ns"));
+    if (o.contains("entity") && !o["entity"].is_null()) h.orderKey = as<std::uint64_t>(o["entity"], "entity");
     return h;
 }
 
@@ -151,7 +152,7 @@
         ep.state = oneOf<EndpointState>(e, "state",
                                         {{"in_service", EndpointState::inService},
                                          {"terminating", EndpointState::draining},
-                                         {"terminated", EndpointState::gone}});
+                                         {"terminated", EndpointState::removed}});
         ep.weight = get(e, "capacity-hint", 0.0);
         list.push_back(std::move(ep));
     }
@@ -214,16 +215,16 @@
     std::optional<Event> read(const std::string& name, const json& body) {
         if (name == "Order") return handed(body);
         if (name == "Response") return outcome(body);
-        if (name == "TimedOutClient") return ClientGone{need<std::string>(body, "handle")};
-        if (name == "Fired") return Woken{};
+        if (name == "TimedOutClient") return MessageWithdrawn{need<std::string>(body, "handle")};
+        if (name == "Fired") return TimerFired{};
         if (name == "Fleet") {
-            ListNews news;
-            news.kind = oneOf<ListKind>(body, "kind",
-                                        {{"diff", ListKind::changes},
-                                         {"snapshot", ListKind::whole},
-                                         {"disk", ListKind::saved},
-                                         {"error", ListKind::failed}});
-            if (news.kind != ListKind::failed) {
+            EndpointListUpdate news;
+            news.kind = oneOf<ListUpdateKind>(body, "kind",
+                                              {{"diff", ListUpdateKind::delta},
+                                               {"snapshot", ListUpdateKind::full},
+                                               {"disk", ListUpdateKind::saved},
+                                               {"error", ListUpdateKind::failed}});
+            if (news.kind != ListUpdateKind::failed) {
                 const int id = need<int>(body, "set-id");
                 const auto list = lists_.find(id);
                 if (list == lists_.end()) bad("'Fleet' names the unknown list " + std::to_string(id));
@@ -246,16 +247,16 @@
             put(i, "Forward",
                 {{"handle", send->id},
                  {"receiver", send->endpoint},
-                 {"try-until-ns", send->tryUntil.time_since_epoch().count()}});
+                 {"try-until-ns", send->attemptDeadline.time_since_epoch().count()}});
         else if (const auto* refuse = std::get_if<Refuse>(&action))
             put(i, "Decline", {{"handle", refuse->id}, {"retry-in-ns", refuse->retryIn.count()}});
         else if (const auto* fail = std::get_if<Fail>(&action))
             put(i, "RespondError", {{"handle", fail->id}});
         else if (const auto* cancel = std::get_if<Cancel>(&action))
             put(i, "Withdraw", {{"handle", cancel->id}, {"go", cancel->attempt}});
-        else if (const auto* wake = std::get_if<Wake>(&action))
+        else if (const auto* wake = std::get_if<SetTimer>(&action))
             put(i, "Timer", {{"offset-ns", wake->after.count()}, {"handle", "wake"}});
-        else if (const auto* close = std::get_if<Close>(&action))
+        else if (const auto* close = std::get_if<CloseIdleConnections>(&action))
             put(i, "HangUp", {{"receiver", close->endpoint}});
         else put(i, "Follow", {{"on", true}});
     }
--- a/include/stoathub/stoathub.hpp
+++ b/include/stoathub/stoathub.hpp
@@ -4,7 +4,7 @@
 // turn() with the time and these events, and carries out the returned actions in their order before the next
 // turn. The library does no I/O, reads no clock, starts no thread and has no globals: the same settings, seed
 // and turns give the same actions. A Sender must not be used by two threads at once; separate Senders share
-// nothing. All decisions are in src/brain.cpp.
+// nothing. All decisions are in src/sender.cpp.
 #pragma once
 
 #include <chrono>
@@ -38,49 +38,49 @@
 /// Which endpoints of a destination drop repeats of a keyed message.
 enum class KeyScope { all, zone };
 /// How worth falls after the aim: evenly down to the late share at the deadline, or by half with each aim.
-enum class Decay { even, halves };
+enum class Decay { linear, exponential };
 /// What Endpoint::weight holds: nothing, the calls a second its destination takes, or that up to half wrong.
 enum class Weights { none, nominal, rough };
 
 /// One class of message.
-struct Grade {
+struct MessageClass {
     Effect effect = Effect::pure;
     KeyScope keyScope = KeyScope::all;
-    Duration keyWindow{};  ///< how long repeats are dropped, from the first attempt that may have run
-    Duration aim{};        ///< delivered within this time it earns its full worth
-    Duration giveUp{};     ///< how long it may be delivered, from when it was first handed in
-    double worth = 1;      ///< of a message delivered within the aim
-    double lateShare = 0;  ///< share of the worth left at the deadline
-    bool inOrder = false;  ///< messages with one key go one at a time
+    Duration keyWindow{};       ///< how long repeats are dropped, from the first attempt that may have run
+    Duration deliveryTarget{};  ///< delivered within this time it earns its full worth
+    Duration timeToLive{};      ///< how long it may be delivered, from when it was first handed in
+    double value = 1;           ///< of a message delivered within the aim
+    double lateValueShare = 0;  ///< share of the worth left at the deadline
+    bool inOrder = false;       ///< messages with one key go one at a time
 };
 
 /// One kind of destination.
-struct Kind {
+struct DestinationKind {
     bool separateRoutes = false;  ///< its endpoints each have a limit, pace and outages of their own
 };
 
 /// What a sender is told at its start. Defaults stand for "not told".
 struct Settings {
-    std::vector<Grade> grades;  ///< at least one
-    std::vector<Kind> kinds;    ///< may be empty: plain destinations
-    int senders = 1;            ///< how many senders there are
-    int slots = 1;              ///< calls out at once
-    int maxHeld = 1;            ///< messages held at once
-    int maxAttempts = 1;        ///< for one message
+    std::vector<MessageClass> messageClasses;  ///< at least one
+    std::vector<DestinationKind> kinds;        ///< may be empty: plain destinations
+    int senders = 1;                           ///< how many senders there are
+    int slots = 1;                             ///< calls out at once
+    int maxHeld = 1;                           ///< messages held at once
+    int maxAttempts = 1;                       ///< for one message
     bool mayCancel = false;
     bool listOnRequest = false;  ///< the list of endpoints comes only when asked for
-    Duration maxAdvice{};        ///< the longest Refuse::retryIn that a client heeds; 0: not told
+    Duration maxRetryAfter{};    ///< the longest Refuse::retryIn that a client heeds; 0: not told
     Duration connectTimeout{};
     Duration keepAlive{};
-    Decay decay = Decay::even;
+    Decay decay = Decay::linear;
     Weights weights = Weights::none;
-    double coldFrom = 1;      ///< share of its capacity a destination has when back from an outage
-    Duration warmUp{};        ///< all of it after this
-    double fallMultiple = 0;  ///< this multiple of its capacity pushes a cold one over; 0: nothing does
-    Duration orderSettle{};   ///< rest of a key after an attempt that may still be running
+    double coldCapacityShare = 1;  ///< share of its capacity a destination has when back from an outage
+    Duration warmUp{};             ///< all of it after this
+    double overloadMultiple = 0;   ///< this multiple of its capacity pushes a cold one over; 0: nothing does
+    Duration orderingPause{};      ///< rest of a key after an attempt that may still be running
 };
 
-enum class EndpointState { inService, draining, gone };
+enum class EndpointState { inService, draining, removed };
 struct Endpoint {
     EndpointId id;
     DestinationId destination = 0;
@@ -93,33 +93,33 @@
 // ---- events ----
 
 /// What an earlier life of the sender had done with a message that it still owes its end.
-struct Past {
-    int attempts = 0;         ///< sent: the limit spans restarts
-    int failures = 0;         ///< attempts known to have failed otherwise than as full
-    bool mayHaveRun = false;  ///< one of them may have run
-    Duration sinceRan{};      ///< since the first that may have was sent: the key's window spans restarts
+struct PriorAttempts {
+    int attempts = 0;            ///< sent: the limit spans restarts
+    int failures = 0;            ///< attempts known to have failed otherwise than as full
+    bool mayHaveRun = false;     ///< one of them may have run
+    Duration sinceMayHaveRun{};  ///< since the first that may have was sent: the key's window spans restarts
 };
 
 /// A message was taken; the sender owes it one final answer.
-struct Handed {
+struct MessageAccepted {
     MessageId id;
     DestinationId destination = 0;
-    int grade = 0;
-    Duration grace{};  ///< how long from now it may still be delivered
-    std::optional<OrderKey> key{};
-    std::optional<Past> past{};   ///< it was taken by an earlier life
-    Effect least = Effect::pure;  ///< held to this, where its class is held to less
+    int messageClass = 0;
+    Duration timeLeft{};  ///< how long from now it may still be delivered
+    std::optional<OrderKey> orderKey{};
+    std::optional<PriorAttempts> priorAttempts{};  ///< it was taken by an earlier life
+    Effect minimumEffect = Effect::pure;           ///< held to this, where its class is held to less
 };
 
 enum class Result {
     delivered,      ///< done
     error,          ///< answered with an error; it may have run
-    full,           ///< turned away unseen
+    rejected,       ///< turned away unseen
     timeout,        ///< no answer in time; it may have run
     connectFailed,  ///< never connected
     reset,          ///< the connection broke; it may have run
     cancelled,      ///< called off; it may have run
-    moot,           ///< not passed on; it counts as an attempt
+    notForwarded,   ///< not passed on; it counts as an attempt
     unsent          ///< never left this machine, for a cause of its own or for a rule: no attempt was made
 };
 /// How one attempt ended: exactly one for each Send.
@@ -129,8 +129,8 @@
     int attempt = 0;  ///< counted from 0 for each message
     Result result = Result::delivered;
     Duration took{};                        ///< since it was sent
-    Duration wait{};                        ///< for full: send nothing for so long; 0: not told
-    bool over = false;                      ///< the message is concluded and owed nothing more
+    Duration retryAfter{};                  ///< for full: send nothing for so long; 0: not told
+    bool concluded = false;                 ///< the message is concluded and owed nothing more
     std::optional<double> allowanceLeft{};  ///< share of the destination's limit left, if told
     std::optional<double> allowedRate{};    ///< the limit in calls a second, 0 for none, if told
     /// For reset: a connection kept from before broke as soon as it was used. That says nothing of the
@@ -139,33 +139,34 @@
 };
 
 /// The client withdrew the message, or its time is up. Nothing more is owed for it.
-struct ClientGone {
+struct MessageWithdrawn {
     MessageId id;
 };
-/// A Wake came due.
-struct Woken {};
+/// A SetTimer came due.
+struct TimerFired {};
 
-enum class ListKind { changes, whole, saved, failed };
-/// News of the list of endpoints. `failed` answers a Follow in vain and carries no entries.
-struct ListNews {
-    ListKind kind = ListKind::whole;
+enum class ListUpdateKind { delta, full, saved, failed };
+/// News of the list of endpoints. `failed` answers a SubscribeToList in vain and carries no entries.
+struct EndpointListUpdate {
+    ListUpdateKind kind = ListUpdateKind::full;
     std::vector<Endpoint> entries;
 };
 
 /// What an earlier life knew of a destination, or how far what is known of it may be believed. Both only ever
 /// slow the sends down.
-struct Standing {
+struct DestinationHealth {
     DestinationId destination = 0;
-    bool down = false;                    ///< in an outage, as far as seen
-    std::optional<Duration> sinceCold{};  ///< so long ago its last outage ended
-    double told = 0;                      ///< its limit in calls a second for all senders; 0: not known
+    bool down = false;                        ///< in an outage, as far as seen
+    std::optional<Duration> sinceRecovery{};  ///< so long ago its last outage ended
+    double rateLimit = 0;                     ///< its limit in calls a second for all senders; 0: not known
     /// Nobody has confirmed it of late, so it may be down or cold: one call first, and then little more than
     /// what it delivers, until it has had the time to warm up.
-    bool doubted = false;
+    bool unconfirmed = false;
     bool probed = false;  ///< a probe has reached it just now, and weighs like a call
 };
 
-using Event = std::variant<Handed, Outcome, ClientGone, Woken, ListNews, Standing>;
+using Event = std::variant<MessageAccepted, Outcome, MessageWithdrawn, TimerFired, EndpointListUpdate,
+                           DestinationHealth>;
 
 // ---- actions ----
 
@@ -174,8 +175,8 @@
 struct Send {
     MessageId id;
     EndpointId endpoint;
-    Time tryUntil;
-    Time goBy = Time::max();
+    Time attemptDeadline;
+    Time sendBy = Time::max();
 };
 /// Final answer: not delivered, and safe to hand in again, after retryIn if that is above 0.
 struct Refuse {
@@ -191,21 +192,21 @@
     MessageId id;
     int attempt = 0;
 };
-/// Bring a Woken this long from now.
-struct Wake {
+/// Bring a TimerFired this long from now.
+struct SetTimer {
     Duration after{};
 };
-/// Subscribe to changes of the list. A ListNews answers.
-struct Follow {};
+/// Subscribe to changes of the list. A EndpointListUpdate answers.
+struct SubscribeToList {};
 /// Shut the idle connections to the endpoint; those with calls out are left as they are.
-struct Close {
+struct CloseIdleConnections {
     EndpointId endpoint;
 };
 
-using Action = std::variant<Send, Refuse, Fail, Cancel, Wake, Follow, Close>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, SubscribeToList, CloseIdleConnections>;
 
 /// The books of a destination's retry bucket: tokens = capacity + gained - spent, in [0, capacity].
-struct Balance {
+struct RetryBucketState {
     DestinationId destination = 0;
     double tokens = 0, capacity = 0;
     double gained = 0;  ///< by successes and time, as far as there was room
@@ -227,10 +228,10 @@
 
     /// What a later life ought to know of the destinations that are down, warming up, limited or doubted, as
     /// of the last turn.
-    std::vector<Standing> standings() const;
+    std::vector<DestinationHealth> destinationHealth() const;
 
     /// The retry buckets, as of the last turn, for whoever checks them.
-    std::vector<Balance> balances() const;
+    std::vector<RetryBucketState> retryBuckets() const;
 
   private:
     class Impl;
--- a/lab/model/day.cpp
+++ b/lab/model/day.cpp
@@ -187,7 +187,7 @@
                 auto& sender = senders_[e.which];
                 if (!sender.alive || e.extra != sender.life || sender.wakeAt != e.at) break;
                 sender.wakeAt.reset();
-                turn(e.which, {stoathub::Woken{}});
+                turn(e.which, {stoathub::TimerFired{}});
                 break;
             }
             case What::reach: reach(e.which); break;
@@ -204,28 +204,28 @@
 
     stoathub::Settings settings() const {
         stoathub::Settings s;
-        stoathub::Grade grade;
-        grade.effect = stoathub::Effect::keyed;
-        grade.keyWindow = fleet_.service.keyWindow;
-        grade.aim = fleet_.service.wanted;
-        grade.giveUp = fleet_.service.giveUp;
-        grade.lateShare = fleet_.service.lateShare;
-        s.grades = {grade};
+        stoathub::MessageClass messageClass;
+        messageClass.effect = stoathub::Effect::keyed;
+        messageClass.keyWindow = fleet_.service.keyWindow;
+        messageClass.deliveryTarget = fleet_.service.wanted;
+        messageClass.timeToLive = fleet_.service.giveUp;
+        messageClass.lateValueShare = fleet_.service.lateShare;
+        s.messageClasses = {messageClass};
         s.kinds.resize(1);
         s.senders = fleet_.senders.count;
         s.slots = slots_;
         s.maxHeld = fleet_.senders.held;
         s.maxAttempts = fleet_.senders.attempts;
         s.mayCancel = fleet_.senders.cancels;
-        s.maxAdvice = fleet_.senders.adviceMost;
+        s.maxRetryAfter = fleet_.senders.adviceMost;
         s.connectTimeout = std::chrono::seconds(1);
         s.keepAlive = kKeepAlive;
         s.weights = fleet_.senders.weighed ? stoathub::Weights::nominal : stoathub::Weights::none;
         // What is told of the fleet is what holds for its partners on average.
         const auto& first = fleet_.partners.front().does;
-        s.coldFrom = first.coldFrom;
+        s.coldCapacityShare = first.coldFrom;
         s.warmUp = first.warmUp;
-        s.fallMultiple = first.fallMultiple;
+        s.overloadMultiple = first.fallMultiple;
         return s;
     }
     stoathub::Endpoint listed(const Endpoint& e) const {
@@ -249,7 +249,7 @@
         sender.idle.assign(endpoints_.size(), {});
         sender.resting = 0;
         sender.busyUntil = now_;
-        stoathub::ListNews news;
+        stoathub::EndpointListUpdate news;
         for (std::size_t e = 0; e < endpoints_.size(); ++e) {
             news.entries.push_back(listed(endpoints_[e]));
             if (endpoints_[e].draining) sender.drains[e] = now_;
@@ -261,19 +261,19 @@
             auto& in = handIns_[h];
             if (in.over) continue;
             kept.push_back(h);
-            stoathub::Handed handed;
+            stoathub::MessageAccepted handed;
             handed.id = std::to_string(h);
             const auto& m = messages_[in.message];
             handed.destination = m.wants.partner;
-            handed.grace = m.wants.at + fleet_.service.deadline - now_;
-            stoathub::Past past;
+            handed.timeLeft = m.wants.at + fleet_.service.deadline - now_;
+            stoathub::PriorAttempts past;
             past.attempts = in.attempts;
             past.mayHaveRun = in.mayHaveRun || in.out != kNone;
             if (past.mayHaveRun && !in.mayHaveRun) in.ranAt = in.sentAt;
-            if (past.mayHaveRun) past.sinceRan = now_ - in.ranAt;
+            if (past.mayHaveRun) past.sinceMayHaveRun = now_ - in.ranAt;
             in.mayHaveRun = past.mayHaveRun;
             in.out = kNone;
-            handed.past = past;
+            handed.priorAttempts = past;
             events.emplace_back(std::move(handed));
         }
         sender.holds = std::move(kept);
@@ -324,10 +324,10 @@
                 const auto h = number(cancel->id);
                 const auto c = handIns_[h].out;
                 if (c != kNone && calls_[c].attempt == cancel->attempt) later(now_, What::cancelled, c);
-            } else if (const auto* wake = std::get_if<stoathub::Wake>(&action)) {
+            } else if (const auto* wake = std::get_if<stoathub::SetTimer>(&action)) {
                 sender.wakeAt = now_ + wake->after;
                 add(*sender.wakeAt, What::wake, s, sender.life);
-            } else if (const auto* close = std::get_if<stoathub::Close>(&action)) {
+            } else if (const auto* close = std::get_if<stoathub::CloseIdleConnections>(&action)) {
                 shut(sender, byId_.at(close->endpoint));
             }
         }
@@ -420,10 +420,10 @@
         const auto& has = fleet_.senders;
         peak(day_.memory,
              has.baseMb + (sender.held * has.messageKb + has.connections * has.connectionKb) / 1000);
-        stoathub::Handed handed;
+        stoathub::MessageAccepted handed;
         handed.id = std::to_string(h);
         handed.destination = message.wants.partner;
-        handed.grace = message.wants.at + fleet_.service.deadline - now_;
+        handed.timeLeft = message.wants.at + fleet_.service.deadline - now_;
         // Its place may move while the module's actions are carried out.
         const auto verdict = turn(s, {std::move(handed)}, h);
         if (sink_) arrived(h, verdict);
@@ -466,17 +466,17 @@
         switch (result) {
             case Result::delivered: a.ending = trace::Ending::delivered; break;
             case Result::error: a.ending = trace::Ending::error; break;
-            case Result::full: a.ending = trace::Ending::turnedAway; break;
+            case Result::rejected: a.ending = trace::Ending::turnedAway; break;
             case Result::timeout: a.ending = trace::Ending::timedOut; break;
             case Result::connectFailed: a.ending = trace::Ending::noConnection; break;
             case Result::reset: a.ending = trace::Ending::reset; break;
             case Result::cancelled: a.ending = trace::Ending::cancelled; break;
             case Result::unsent:
-            case Result::moot: a.ending = trace::Ending::notSent; break;
+            case Result::notForwarded: a.ending = trace::Ending::notSent; break;
         }
         a.tookUs = static_cast<std::uint64_t>((now_ - call.sentAt) / std::chrono::microseconds(1));
         a.waitMs = static_cast<std::uint64_t>(call.wait / milliseconds(1));
-        if (does.tellsLoad && (result == Result::delivered || result == Result::full))
+        if (does.tellsLoad && (result == Result::delivered || result == Result::rejected))
             a.allowedMilli = static_cast<std::uint64_t>(does.limit * 1000);
         sink_(a);
     }
@@ -510,7 +510,7 @@
         call.life = sender.life;
         call.attempt = in.attempts++;
         call.sentAt = now_;
-        call.until = std::chrono::duration_cast<Instant>(send.tryUntil.time_since_epoch());
+        call.until = std::chrono::duration_cast<Instant>(send.attemptDeadline.time_since_epoch());
         in.out = c;
         peak(day_.slots, ++sender.out);
         const bool warm = take(sender, call.endpoint);
@@ -573,7 +573,7 @@
         // Asked again just before the first byte, as the facade does.
         if (sender.drains[call.endpoint] || now_ < sender.waits[endpoint.partner] || in.ended ||
             now_ >= call.until)
-            return outcome(c, stoathub::Result::moot);
+            return outcome(c, stoathub::Result::notForwarded);
         call.reached = true;
         in.sentAt = now_;
         ++day_.calls;
@@ -588,18 +588,18 @@
         const bool was = side.desk.fallen();
         if (!side.desk.arrived(now_)) {
             day_.rules.fallOvers += !was;
-            call.result = stoathub::Result::full;
+            call.result = stoathub::Result::rejected;
             return later(back, What::answer, c);
         }
         if (endpoint.draining) {
-            call.result = stoathub::Result::full;
+            call.result = stoathub::Result::rejected;
             return later(back, What::answer, c);
         }
         const auto admission = side.desk.call(now_);
         using Kind = Desk::Admission::Kind;
         day_.rules.duringWait += admission.duringWait;
         if (admission.kind != Kind::run) {
-            call.result = stoathub::Result::full;
+            call.result = stoathub::Result::rejected;
             call.wait = lab::span(admission.wait);
             ++day_.refusedCalls;
             ++day_.turnedAway[endpoint.partner];
@@ -632,7 +632,7 @@
     void answer(Handle c) {
         auto& call = calls_[c];
         if (live(call)) {
-            if (call.result == stoathub::Result::delivered || call.result == stoathub::Result::full)
+            if (call.result == stoathub::Result::delivered || call.result == stoathub::Result::rejected)
                 rest(senders_[call.sender], call.endpoint);
             outcome(c, call.result);
         }
@@ -647,7 +647,7 @@
 
     void cancelled(Handle c) {
         if (live(calls_[c]))
-            outcome(c, calls_[c].reached ? stoathub::Result::cancelled : stoathub::Result::moot);
+            outcome(c, calls_[c].reached ? stoathub::Result::cancelled : stoathub::Result::notForwarded);
         drop(c);
     }
 
@@ -674,19 +674,19 @@
         o.attempt = call.attempt;
         o.result = result;
         o.took = now_ - call.sentAt;
-        o.wait = call.wait;
-        o.over = result == Result::delivered;
+        o.retryAfter = call.wait;
+        o.concluded = result == Result::delivered;
         if (call.wait > Instant{}) {
             auto& until = sender.waits[endpoints_[call.endpoint].partner];
             until = std::max(until, now_ + call.wait);
         }
-        if (does.tellsLoad && (result == Result::delivered || result == Result::full)) {
+        if (does.tellsLoad && (result == Result::delivered || result == Result::rejected)) {
             const auto load = sides_[endpoints_[call.endpoint].partner].desk.load(now_);
             o.allowanceLeft = load.left;
             o.allowedRate = load.limit;
         }
         if (sink_) answered(call, result);
-        if (o.over || in.ended) release(call.handIn);
+        if (o.concluded || in.ended) release(call.handIn);
         turn(call.sender, {std::move(o)});
     }
 
@@ -697,7 +697,7 @@
         if (!sender.alive) return;
         if (!sender.drains[e]) sender.drains[e] = now_;
         shut(sender, e);
-        turn(s, {stoathub::ListNews{stoathub::ListKind::changes, {listed(endpoints_[e])}}});
+        turn(s, {stoathub::EndpointListUpdate{stoathub::ListUpdateKind::delta, {listed(endpoints_[e])}}});
     }
 
     void trouble(const Trouble& t) {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -79,8 +79,8 @@
     return all;
 }
 
-stoathub::Grade grade(const Json::Value& g) {
-    stoathub::Grade made;
+stoathub::MessageClass grade(const Json::Value& g) {
+    stoathub::MessageClass made;
     const auto effect = word(g, "effect", "");
     if (effect == "pure") made.effect = stoathub::Effect::pure;
     else if (effect == "token") made.effect = stoathub::Effect::keyed;
@@ -88,17 +88,17 @@
     else bad("settings: a class has the unknown effect '" + effect + "'");
     made.keyScope = word(g, "key-scope", "all") == "all" ? stoathub::KeyScope::all : stoathub::KeyScope::zone;
     made.keyWindow = span(g, "key-ttl-ns");
-    made.giveUp = span(g, "give-up-ns");
-    made.aim = span(g, "slo-ns", made.giveUp);
-    made.worth = number(g, "credit", 1);
-    made.lateShare = number(g, "late-share", 0);
+    made.timeToLive = span(g, "give-up-ns");
+    made.deliveryTarget = span(g, "slo-ns", made.timeToLive);
+    made.value = number(g, "credit", 1);
+    made.lateValueShare = number(g, "late-share", 0);
     made.inOrder = flag(g, "in-turn", false);
     return made;
 }
 
 stoathub::Settings settings(const Json::Value& p) {
     stoathub::Settings s;
-    for (const auto& g : list(p, "grades")) s.grades.push_back(grade(g));
+    for (const auto& g : list(p, "grades")) s.messageClasses.push_back(grade(g));
     const auto& domain = member(p, "domain");
     const auto& apart = list(domain, "separate-routes");
     s.kinds.resize(std::max(list(p, "kinds").size(), apart.size()));
@@ -106,13 +106,13 @@
         s.kinds[i].separateRoutes = apart[i].isBool() && apart[i].asBool();
     s.senders = count(p, "balancers", 1, 1);
     s.slots = count(domain, "max-calls", kSlots, 1);
-    s.decay =
-        word(domain, "loses-worth", "even") == "by_half" ? stoathub::Decay::halves : stoathub::Decay::even;
+    s.decay = word(domain, "loses-worth", "even") == "by_half" ? stoathub::Decay::exponential
+                                                               : stoathub::Decay::linear;
     const auto& limits = member(p, "limits");
     s.maxHeld = count(limits, "max-open", kHeld, 1);
     s.maxAttempts = count(limits, "attempts-cap", kAttempts, 1);
     s.mayCancel = flag(limits, "cancelling", false);
-    s.maxAdvice = span(limits, "max-retry-after-ns");
+    s.maxRetryAfter = span(limits, "max-retry-after-ns");
     s.connectTimeout = span(limits, "connect-timeout-ns", kConnect);
     s.keepAlive = span(limits, "keepalive-ns", kKeepAlive);
     const auto weights = word(p, "weights", "none");
@@ -120,10 +120,10 @@
                 : weights == "rough" ? stoathub::Weights::rough
                                      : stoathub::Weights::none;
     const auto& safety = member(p, "safety");
-    s.coldFrom = number(safety, "cold-from", 1);
+    s.coldCapacityShare = number(safety, "cold-from", 1);
     s.warmUp = span(safety, "warm-up-ns");
-    s.fallMultiple = number(safety, "fall-multiple", 0);
-    s.orderSettle = span(safety, "order-settle-ns");
+    s.overloadMultiple = number(safety, "fall-multiple", 0);
+    s.orderingPause = span(safety, "order-settle-ns");
     return s;
 }
 
--- a/src/decisions/decisions.cpp
+++ b/src/decisions/decisions.cpp
@@ -39,7 +39,7 @@
     switch (ending) {
         case Ending::delivered: return stoathub::Result::delivered;
         case Ending::error: return stoathub::Result::error;
-        case Ending::turnedAway: return stoathub::Result::full;
+        case Ending::turnedAway: return stoathub::Result::rejected;
         case Ending::timedOut: return stoathub::Result::timeout;
         case Ending::noConnection: return stoathub::Result::connectFailed;
         case Ending::reset: return stoathub::Result::reset;
@@ -47,7 +47,7 @@
         case Ending::unsent: return stoathub::Result::unsent;
         case Ending::notSent: break;
     }
-    return stoathub::Result::moot;
+    return stoathub::Result::notForwarded;
 }
 
 bool mayHaveRun(Ending ending) {
@@ -222,7 +222,7 @@
     record.destination = message.destination;
     record.grade = config_.classes[message.grade];
     if (message.tenant < config_.tenants.size()) record.tenant = config_.tenants[message.tenant];
-    record.effect = static_cast<int>(config_.settings.grades[message.grade].effect);
+    record.effect = static_cast<int>(config_.settings.messageClasses[message.grade].effect);
     record.deadline =
         recordClock_.now() + std::chrono::duration_cast<milliseconds>(message.deadline - now).count();
     record.body = message.body;
@@ -235,11 +235,11 @@
     if (!stored) return refused("store", kFullAfter);
     hold(message);
     if (destinations_[message.destination].serving == 0 && hooks_.wanted) hooks_.wanted(message.destination);
-    stoathub::Handed handed;
+    stoathub::MessageAccepted handed;
     handed.id = message.id;
     handed.destination = message.destination;
-    handed.grade = static_cast<int>(message.grade);
-    handed.grace = message.deadline - now;
+    handed.messageClass = static_cast<int>(message.grade);
+    handed.timeLeft = message.deadline - now;
     Verdict verdict;
     turn({{std::move(handed)}}, &verdict, &message.id);
     return verdict;
@@ -283,8 +283,8 @@
     outcome.attempt = call.attempt;
     outcome.result = moduleResult(result.ending);
     outcome.took = now - call.issued;
-    outcome.wait = result.wait;
-    outcome.over = over;
+    outcome.retryAfter = result.wait;
+    outcome.concluded = over;
     outcome.stale = result.stale;
     outcome.allowanceLeft = result.allowanceLeft;
     outcome.allowedRate = result.allowedRate;
@@ -299,10 +299,10 @@
         if (e.status != listing::Status::serving) sendRules_.endEndpoint(e.name, heardAt);
     const std::lock_guard lock(mutex_);
     if (stopped_) return;
-    stoathub::ListNews news;
-    news.kind = saved        ? stoathub::ListKind::saved
-                : list.whole ? stoathub::ListKind::whole
-                             : stoathub::ListKind::changes;
+    stoathub::EndpointListUpdate news;
+    news.kind = saved        ? stoathub::ListUpdateKind::saved
+                : list.whole ? stoathub::ListUpdateKind::full
+                             : stoathub::ListUpdateKind::delta;
     const auto now = Steady::now();
     if (saved || list.whole) {  // what it does not name is gone
         std::set<std::string_view> named;
@@ -326,7 +326,7 @@
         entry.weight = e.weight;
         entry.state = e.status == listing::Status::serving    ? stoathub::EndpointState::inService
                       : e.status == listing::Status::draining ? stoathub::EndpointState::draining
-                                                              : stoathub::EndpointState::gone;
+                                                              : stoathub::EndpointState::removed;
         news.entries.push_back(std::move(entry));
         const rules::Endpoint seen{e.address, e.group, e.status == listing::Status::serving};
         setEndpoint(e.name, e.status == listing::Status::deleted ? nullptr : &seen, now);
@@ -379,8 +379,8 @@
     if (stopped_ || standings.empty()) return;
     Events events;
     for (const auto& s : standings) {
-        stoathub::Standing event{s.destination, s.down, {}, s.told, s.doubted, s.probed};
-        if (s.sinceCold) event.sinceCold = *s.sinceCold;
+        stoathub::DestinationHealth event{s.destination, s.down, {}, s.told, s.doubted, s.probed};
+        if (s.sinceCold) event.sinceRecovery = *s.sinceCold;
         events.all.push_back(std::move(event));
     }
     turn(events);
@@ -389,9 +389,9 @@
 std::vector<Standing> Decisions::standings() const {
     const std::lock_guard lock(mutex_);
     std::vector<Standing> all;
-    for (const auto& s : sender_.standings()) {
-        all.push_back({s.destination, s.down, {}, s.told, s.doubted, false});
-        if (s.sinceCold) all.back().sinceCold = wholeMs(*s.sinceCold);
+    for (const auto& s : sender_.destinationHealth()) {
+        all.push_back({s.destination, s.down, {}, s.rateLimit, s.unconfirmed, false});
+        if (s.sinceRecovery) all.back().sinceCold = wholeMs(*s.sinceRecovery);
     }
     return all;
 }
@@ -437,7 +437,7 @@
     recorder_.done(id);
     it->second.over = true;
     if (!it->second.out) release(id);
-    turn({{stoathub::ClientGone{id}}});
+    turn({{stoathub::MessageWithdrawn{id}}});
 }
 
 std::size_t Decisions::restore(const std::vector<store::Taken>& messages, store::RecordMs healthKnownUntil) {
@@ -464,7 +464,7 @@
         }
         // Until the list names it, as for any that it named a moment ago.
         if (destinations_[message.destination].listed == 0) unlisted_.try_emplace(message.destination, now);
-        held.attempts = found.handed.past->attempts;
+        held.attempts = found.handed.priorAttempts->attempts;
         events.all.push_back(std::move(found.handed));
     }
     if (!events.all.empty()) turn(events);
@@ -489,7 +489,7 @@
             const auto late = std::chrono::duration_cast<milliseconds>(Steady::now() - next);
             if (late > kLate) log::warning() << "woken " << late.count() << " ms late";
             wakeAt_.reset();
-            turn({{stoathub::Woken{}}});
+            turn({{stoathub::TimerFired{}}});
             return true;
         }
     }
@@ -531,8 +531,8 @@
             const auto seen = endpoints_.find(send->endpoint);
             calls_.push_back({send->id, held.in.key, held.in.body, send->endpoint,
                               seen == endpoints_.end() ? std::string() : seen->second.address,
-                              held.in.destination, held.attempts++, now, moment(send->tryUntil),
-                              moment(send->goBy), held.cancel.get_token()});
+                              held.in.destination, held.attempts++, now, moment(send->attemptDeadline),
+                              moment(send->sendBy), held.cancel.get_token()});
             due_.notify_one();
         } else if (const auto* refuse = std::get_if<stoathub::Refuse>(&action)) {
             const auto after = wholeMs(refuse->retryIn);
@@ -555,9 +555,9 @@
             const auto it = held_.find(cancel->id);
             if (it != held_.end() && it->second.out && it->second.attempts == cancel->attempt + 1)
                 it->second.cancel.request_stop();
-        } else if (const auto* wake = std::get_if<stoathub::Wake>(&action)) {
+        } else if (const auto* wake = std::get_if<stoathub::SetTimer>(&action)) {
             wakeAt(now + std::chrono::duration_cast<Steady::duration>(wake->after));
-        } else if (const auto* close = std::get_if<stoathub::Close>(&action)) {
+        } else if (const auto* close = std::get_if<stoathub::CloseIdleConnections>(&action)) {
             if (hooks_.closeIdle) hooks_.closeIdle(close->endpoint);
         }
         // Follow has no place on sockets: the watch always runs.
@@ -642,7 +642,7 @@
 std::vector<Decisions::Balance> Decisions::balances() const {
     const std::lock_guard lock(mutex_);
     std::vector<Balance> all;
-    for (const auto& b : sender_.balances())
+    for (const auto& b : sender_.retryBuckets())
         all.push_back({b.destination, b.tokens, b.capacity, b.gained, b.spent});
     return all;
 }
--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -78,7 +78,7 @@
     bool stale = false;    ///< a kept connection broke as soon as it was used
 };
 
-/// What is known of a destination beyond the list: see stoathub::Standing.
+/// What is known of a destination beyond the list: see stoathub::DestinationHealth.
 struct Standing {
     std::uint64_t destination = 0;
     bool down = false;
@@ -145,7 +145,7 @@
     /// Rules that were seen broken.
     const rules::Violations& violations() const { return violations_; }
 
-    /// A destination's retry bucket: see stoathub::Balance.
+    /// A destination's retry bucket: see stoathub::RetryBucketState.
     struct Balance {
         std::uint64_t destination = 0;
         double tokens = 0, capacity = 0, gained = 0, spent = 0;
--- a/src/decisions/found_messages.cpp
+++ b/src/decisions/found_messages.cpp
@@ -16,16 +16,16 @@
     return message.attempts.made() > 0 ? FoundState::neverRan : FoundState::untried;
 }
 
-stoathub::Past pastOf(const store::Taken& message, const FoundMessage& found,
-                      store::RecordMs healthKnownUntil) {
-    stoathub::Past past;
+stoathub::PriorAttempts pastOf(const store::Taken& message, const FoundMessage& found,
+                               store::RecordMs healthKnownUntil) {
+    stoathub::PriorAttempts past;
     past.attempts = static_cast<int>(message.attempts.made());
     // Danger: a failure on record may be long ago, and the partner well since; a few of them together would
     // make an outage of nothing, and ease the busiest partners in while the backlog waits.
     const bool unknownYet = message.attempts.lastFailureAt() > healthKnownUntil;
     past.failures = unknownYet ? static_cast<int>(message.attempts.failures()) : 0;
     past.mayHaveRun = found.mayHaveRun;
-    past.sinceRan = found.sinceRan;
+    past.sinceMayHaveRun = found.sinceRan;
     return past;
 }
 
@@ -51,12 +51,12 @@
     auto& handed = found.handed;
     handed.id = message.id;
     handed.destination = message.destination;
-    handed.grade = found.grade;
+    handed.messageClass = found.grade;
     const auto then = static_cast<stoathub::Effect>(std::clamp(message.effect, 0, 2));
-    const auto today = config.settings.grades[static_cast<std::size_t>(found.grade)].effect;
-    handed.least = rules::effectOfFound(then, today, !message.key.empty());
-    handed.grace = found.left;
-    handed.past = pastOf(message, found, healthKnownUntil);
+    const auto today = config.settings.messageClasses[static_cast<std::size_t>(found.grade)].effect;
+    handed.minimumEffect = rules::effectOfFound(then, today, !message.key.empty());
+    handed.timeLeft = found.left;
+    handed.priorAttempts = pastOf(message, found, healthKnownUntil);
     return found;
 }
 
--- a/src/decisions/found_messages.hpp
+++ b/src/decisions/found_messages.hpp
@@ -26,7 +26,7 @@
     std::chrono::milliseconds left{};      ///< until its deadline; negative: passed meanwhile
     std::chrono::milliseconds sinceRan{};  ///< since the first attempt that may have run was sent
     bool mayHaveRun = false;
-    stoathub::Handed handed;  ///< for the module, where the class is known
+    stoathub::MessageAccepted handed;  ///< for the module, where the class is known
 };
 
 /// `now` on the time line of the record. Up to `healthKnownUntil` what was learnt of partners' health is
--- a/src/front/intake.cpp
+++ b/src/front/intake.cpp
@@ -61,7 +61,7 @@
         if (part.substr(0, 5) == "dest=") destination = http::wholeNumber(part.substr(5), 1ULL << 53);
     if (!destination) return Denied{400, "X-Route-To names no dest"};
     const auto* key = headers.find("Idempotency-Key");
-    const bool keyed = config.settings.grades[grade].effect == stoathub::Effect::keyed;
+    const bool keyed = config.settings.messageClasses[grade].effect == stoathub::Effect::keyed;
     if ((keyed || key) && !plain(key)) return Denied{400, "Idempotency-Key is missing or malformed"};
     decisions::HandIn message;
     message.id = *id;
@@ -70,7 +70,8 @@
     message.grade = static_cast<std::uint32_t>(grade);
     message.tenant = static_cast<std::uint32_t>(tenant);
     // Nothing is held for longer than its class lasts, whatever its client says.
-    const auto longest = std::chrono::ceil<std::chrono::milliseconds>(config.settings.grades[grade].giveUp);
+    const auto longest =
+        std::chrono::ceil<std::chrono::milliseconds>(config.settings.messageClasses[grade].timeToLive);
     message.deadline = came + std::min(std::chrono::milliseconds(*ms), longest);
     message.body = std::make_shared<const std::string>(std::move(request.body));
     return message;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -104,7 +104,8 @@
     const auto listBytes = own.roster.keep ? kept::share(config.diskBytes, own.roster.diskShare) : 0;
     clock::RecordClock recordClock(config.state);
     store::Positions positions{config.classes, config.tenants, {}};
-    for (const auto& g : config.settings.grades) positions.effects.push_back(static_cast<int>(g.effect));
+    for (const auto& g : config.settings.messageClasses)
+        positions.effects.push_back(static_cast<int>(g.effect));
     store::Journal store(config.state, config.diskBytes - listBytes, std::move(positions));
     const auto recovered = store.recover();
     decisions::Decisions* facade = nullptr;
--- a/src/retry_bucket.hpp
+++ b/src/retry_bucket.hpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "tuning.hpp"
+#include "sender_constants.hpp"
 
 namespace stoathub {
 
--- a/src/brain.cpp
+++ b/src/sender.cpp
@@ -8,9 +8,9 @@
 #include <utility>
 
 #include "retry_bucket.hpp"
+#include "sender_constants.hpp"
 #include "settings.hpp"
 #include "stoathub/stoathub.hpp"
-#include "tuning.hpp"
 
 namespace stoathub {
 namespace {
@@ -126,10 +126,11 @@
     Impl(const Settings& settings, std::uint64_t seed) : set_(settings), chance_(seed) {
         check(settings);
         double life = 0;
-        for (const auto& g : set_.grades) life += seconds(g.giveUp) / static_cast<double>(set_.grades.size());
+        for (const auto& g : set_.messageClasses)
+            life += seconds(g.timeToLive) / static_cast<double>(set_.messageClasses.size());
         lone_ = kLone / life;
-        if (set_.fallMultiple > 0)
-            coldRoom_ = std::clamp(set_.fallMultiple - kRamp - kFallSlack, 0.0, kColdRoom);
+        if (set_.overloadMultiple > 0)
+            coldRoom_ = std::clamp(set_.overloadMultiple - kRamp - kFallSlack, 0.0, kColdRoom);
     }
 
     std::vector<Action> turn(Time now, const std::vector<Event>& events) {
@@ -148,20 +149,20 @@
         return std::move(actions_);
     }
 
-    std::vector<Standing> standings() const {
-        std::vector<Standing> all;
+    std::vector<DestinationHealth> destinationHealth() const {
+        std::vector<DestinationHealth> all;
         for (const auto& [id, dest] : places_) {
             const Owner& own = dest.own;
             const bool warming = t_ < own.coldAt + seconds(set_.warmUp);
             if (!own.down && !warming && own.heard <= 0 && !own.doubted) continue;
             all.push_back({id, own.down, {}, own.told, own.doubted, false});
-            if (warming) all.back().sinceCold = duration(t_ - own.coldAt);
+            if (warming) all.back().sinceRecovery = duration(t_ - own.coldAt);
         }
         return all;
     }
 
-    std::vector<Balance> balances() const {
-        std::vector<Balance> all;
+    std::vector<RetryBucketState> retryBuckets() const {
+        std::vector<RetryBucketState> all;
         for (const auto& [id, dest] : places_)
             all.push_back(
                 {id, dest.bucket.tokens(), kBucketCapacity, dest.bucket.gained(), dest.bucket.spent()});
@@ -170,23 +171,25 @@
 
   private:
     // ---- events ----
-    void on(const Handed& h) {
-        if (h.grade < 0 || h.grade >= static_cast<int>(set_.grades.size()) || byId_.count(h.id)) return;
-        const Grade& g = set_.grades[h.grade];
+    void on(const MessageAccepted& h) {
+        if (h.messageClass < 0 || h.messageClass >= static_cast<int>(set_.messageClasses.size()) ||
+            byId_.count(h.id))
+            return;
+        const MessageClass& g = set_.messageClasses[h.messageClass];
         Message m;
         m.id = h.id;
-        m.grade = h.grade;
-        m.effect = std::max(g.effect, h.least);
-        if (g.inOrder) m.key = h.key;
+        m.grade = h.messageClass;
+        m.effect = std::max(g.effect, h.minimumEffect);
+        if (g.inOrder) m.key = h.orderKey;
         m.taken = m.notBefore = t_;
-        m.deadline = t_ + seconds(h.grace);
-        m.aimAt = m.deadline - seconds(g.giveUp - g.aim);
+        m.deadline = t_ + seconds(h.timeLeft);
+        m.aimAt = m.deadline - seconds(g.timeToLive - g.deliveryTarget);
         const std::uint64_t seq = ++lastSeq_;
         if (m.key) turns_[*m.key].line.push_back(seq);
         byId_[m.id] = seq;
         m.place = &place(h.destination);
         ++m.place->held;
-        if (h.past) resume(m, *h.past);
+        if (h.priorAttempts) resume(m, *h.priorAttempts);
         messages_.emplace(seq, std::move(m));
     }
 
@@ -195,11 +198,11 @@
     // retry, so backoff spreads it and the bucket pays; what never left is tried for the first time, or a
     // bucket would give most of it up untried; failures count as if seen now; and the pace holds from the
     // first call. The zone of an earlier attempt is no longer known.
-    void resume(Message& m, const Past& past) {
+    void resume(Message& m, const PriorAttempts& past) {
         m.attempts = past.attempts;
         m.found = past.attempts == 0;
         m.mayHaveRun = past.mayHaveRun;
-        m.keyedFrom = t_ - seconds(past.sinceRan);
+        m.keyedFrom = t_ - seconds(past.sinceMayHaveRun);
         m.keyedZone = -1;
         if (past.attempts + past.failures > 0) {
             m.notBefore = t_ + kBackoffBase * (kBackoffFloor + (1 - kBackoffFloor) * random());
@@ -212,44 +215,44 @@
         if (own.rate == kNever && own.told > 0 && !sparse(own)) own.rate = own.told / set_.senders;
     }
 
-    void on(const ClientGone& gone) {
+    void on(const MessageWithdrawn& gone) {
         const auto it = byId_.find(gone.id);
         if (it == byId_.end()) return;
         messages_.at(it->second).ended = true;
         settle(it->second);
     }
 
-    void on(const Woken&) {}
+    void on(const TimerFired&) {}
 
     // Danger: after a restart a partner may be down or cold and nothing in hand tells; the first burst would
     // push it over. It may hurt a partner that is well, for the few calls until its deliveries have opened
     // the pace.
-    void on(const Standing& s) {
+    void on(const DestinationHealth& s) {
         Owner& own = place(s.destination).own;
-        if (own.told <= 0) own.told = s.told;
+        if (own.told <= 0) own.told = s.rateLimit;
         own.down = own.down || s.down;
         own.learntAt = t_;
-        if (s.sinceCold) own.coldAt = std::max(own.coldAt, t_ - seconds(*s.sinceCold));
-        if (s.doubted && !own.doubted) {
+        if (s.sinceRecovery) own.coldAt = std::max(own.coldAt, t_ - seconds(*s.sinceRecovery));
+        if (s.unconfirmed && !own.doubted) {
             // Senders that restart together must not make their first calls together.
             own.provenAt = kNever, own.beliefAt = t_;
             own.belief = s.probed ? 1 : set_.senders > 1 ? random() : 1;
         }
         if (s.probed) own.belief -= 1;
         // Who has been capped stays so until it has had the time to warm up: no jump in pace.
-        own.doubted = s.doubted || (own.doubted && (own.calls > 0 || own.provenAt != kNever));
+        own.doubted = s.unconfirmed || (own.doubted && (own.calls > 0 || own.provenAt != kNever));
     }
 
-    void on(const ListNews& news) {
-        if (news.kind == ListKind::failed) {
+    void on(const EndpointListUpdate& news) {
+        if (news.kind == ListUpdateKind::failed) {
             followPause_ = std::min(std::max(kRefollow, 2 * followPause_), kRefollowMost);
             followAt_ = t_ + followPause_ * (0.5 + random());
             return;
         }
-        if (news.kind != ListKind::saved) followPause_ = 0;
-        if (news.kind != ListKind::changes) ++lists_, later_.clear();
+        if (news.kind != ListUpdateKind::saved) followPause_ = 0;
+        if (news.kind != ListUpdateKind::delta) ++lists_, later_.clear();
         for (const auto& e : news.entries) list(e);
-        if (news.kind != ListKind::changes)
+        if (news.kind != ListUpdateKind::delta)
             for (auto& [id, target] : targets_) target.usable = target.usable && target.listed == lists_;
         forget();
     }
@@ -323,8 +326,8 @@
         hangUp(m);
         if (o.result == Result::unsent) return takeBack(seq, m, target);
         m.unsent = 0;
-        if (o.result != Result::moot) m.paid = 0;
-        if (ran || o.result == Result::full) m.found = false;
+        if (o.result != Result::notForwarded) m.paid = 0;
+        if (ran || o.result == Result::rejected) m.found = false;
         observe(target, o, kept);
         if (ran && !m.mayHaveRun) {
             m.mayHaveRun = true;
@@ -333,8 +336,8 @@
         }
         if (m.key &&
             (o.result == Result::timeout || o.result == Result::reset || o.result == Result::cancelled))
-            turns_[*m.key].restUntil = t_ + seconds(set_.orderSettle) + kGuard;
-        if (o.over || m.ended) {
+            turns_[*m.key].restUntil = t_ + seconds(set_.orderingPause) + kGuard;
+        if (o.concluded || m.ended) {
             m.ended = true;
             return settle(seq);
         }
@@ -369,7 +372,7 @@
 
     void observe(Target& target, const Outcome& o, bool kept) {
         Owner& own = owner(target);
-        if (o.result == Result::moot || o.stale) return;
+        if (o.result == Result::notForwarded || o.stale) return;
         own.learntAt = t_;
         if (o.allowedRate && *o.allowedRate > 0) own.told = *o.allowedRate;
         if (o.allowedRate) own.heard = *o.allowedRate, reports_ = true;
@@ -381,22 +384,23 @@
         if (t_ > own.provenAt + seconds(set_.warmUp)) own.doubted = false;
         // Turned away on a new connection, without the report that answers have here: it holds too many.
         Sec& scarce = scarceUntil_[target.kind];
-        if (o.result == Result::full && !kept && reports_ && !o.allowedRate && o.wait <= Duration{})
+        if (o.result == Result::rejected && !kept && reports_ && !o.allowedRate && o.retryAfter <= Duration{})
             scarce = std::max(scarce, t_ + kScarceTold);
         if (o.result == Result::connectFailed && 2 * o.took < set_.connectTimeout) {
             const bool outage = own.streak > 0 && t_ > own.streakAt + kFewSpan;
             scarce = outage ? 0 : t_ + kScarce;
         }
-        if (!good && o.result != Result::full) ++target.streak;
+        if (!good && o.result != Result::rejected) ++target.streak;
         // Refused with room left: its queue is full, or it holds too many connections. That says nothing of
         // its fellows, which go first from then on.
-        if (o.result == Result::full && tellsRoom(o) && *o.allowanceLeft > kAmple) target.order += 1;
+        if (o.result == Result::rejected && tellsRoom(o) && *o.allowanceLeft > kAmple) target.order += 1;
         health(own, target, o);
         if (inParts(own)) share(own, o);
         else adapt(own, o.result);
         shun(target, o.result);
-        if (o.result == Result::full) {
-            if (o.wait > Duration{}) own.waitUntil = std::max(own.waitUntil, t_ + seconds(o.wait) + kGuard);
+        if (o.result == Result::rejected) {
+            if (o.retryAfter > Duration{})
+                own.waitUntil = std::max(own.waitUntil, t_ + seconds(o.retryAfter) + kGuard);
             return;
         }
         own.share += kSmooth * ((good ? 1 : 0) - own.share);
@@ -436,16 +440,16 @@
         // decides.
         const bool told = tellsRoom(o);
         const bool closed =
-            result == Result::full &&
-            (o.wait > Duration{} ? seconds(o.wait) > kFullSpan : told && *o.allowanceLeft > kAmple);
-        if (result == Result::full && !closed && told) return;
+            result == Result::rejected && (o.retryAfter > Duration{} ? seconds(o.retryAfter) > kFullSpan
+                                                                     : told && *o.allowanceLeft > kAmple);
+        if (result == Result::rejected && !closed && told) return;
         // An outage mostly takes all routes of a destination: what one route refuses speaks of its fellows
         // too.
         Owner& whole = place(target.destination).own;
         if (target.apart && whole.streak++ == 0) whole.streakAt = t_;
-        if (target.apart && result == Result::full) ++whole.fullStreak;
+        if (target.apart && result == Result::rejected) ++whole.fullStreak;
         if (own.streak++ == 0) own.streakAt = t_;
-        if (result == Result::full && !closed) ++own.fullStreak;
+        if (result == Result::rejected && !closed) ++own.fullStreak;
         // Danger: where many senders each hold one message for a shut destination, backoff alone adds up to
         // far more than it can take when it opens. Met seldom, two refusals that tell nothing, apart, are
         // enough.
@@ -456,14 +460,14 @@
         const auto& fellows = place(target.destination).targets;
         const bool vague = result == Result::timeout || result == Result::cancelled;
         const bool spent =
-            sparse(own) && (closed || result != Result::full) && (!vague || own.streak >= kVague) &&
+            sparse(own) && (closed || result != Result::rejected) && (!vague || own.streak >= kVague) &&
             (target.apart || closed || std::all_of(fellows.begin(), fellows.end(), [](const Target* x) {
                  return !x->usable || x->streak > 0;
              }));
         const bool was = own.down;
         if (own.streak - own.fullStreak >= kStreak || shut || own.share < kMostFail || spent) own.down = true;
         if (own.down && !was)
-            own.gone = result != Result::full || (own.gone && t_ < own.coldAt + seconds(set_.warmUp));
+            own.gone = result != Result::rejected || (own.gone && t_ < own.coldAt + seconds(set_.warmUp));
         if (own.down && !was && sparse(own)) own.credit = random(), own.creditAt = t_;
     }
 
@@ -474,7 +478,7 @@
     void adapt(Owner& own, Result result) {
         if (own.down) return;
         if (own.rate == kNever && own.told > 0) own.rate = own.told / set_.senders;
-        if (result == Result::full) {
+        if (result == Result::rejected) {
             own.credit = std::min(own.credit, 0.0);  // what was saved up would be refused as well
             if (t_ < own.cutAt + kCutPause) return;
             if (sparse(own) && t_ > own.cutAt + kCalm) own.rate = kNever;
@@ -495,7 +499,7 @@
     // Also catches entries of a stale list. Where all endpoints fail, health() decides and none is left out.
     void shun(Target& target, Result result) {
         if (result == Result::delivered) target.streak = 0, target.avoidUntil = 0;
-        if (result == Result::delivered || result == Result::full) return;
+        if (result == Result::delivered || result == Result::rejected) return;
         if (target.streak >= kShunAfter || result == Result::connectFailed)
             target.avoidUntil = t_ + std::min(kShunMost, kShun * std::pow(2.0, target.streak - 1));
     }
@@ -506,7 +510,7 @@
     // answer that tells room allows further calls. It may hurt a sender with a clump, for a few seconds.
     void share(Owner& own, const Outcome& o) {
         if (own.down) return;
-        if (o.result == Result::full) {
+        if (o.result == Result::rejected) {
             // Danger: senders that are refused together would all have their next call due at one moment,
             // and be refused together again. Each goes on from its own place in the span between two calls.
             own.credit = random() - 0.5;
@@ -540,14 +544,16 @@
 
     // Calls a second that may be sent now; kNever where nothing bounds it but the window.
     double pace(const Owner& own, int routes) const {
-        const double budget = set_.fallMultiple > 0 ? std::min(1.0, set_.fallMultiple * set_.coldFrom) : 1.0;
+        const double budget =
+            set_.overloadMultiple > 0 ? std::min(1.0, set_.overloadMultiple * set_.coldCapacityShare) : 1.0;
         // A lone message stands for a larger part than the equal one: few of the senders hold one just then.
         // Routes apart share it, or one message would knock at each of them.
         const double part = sparse(own) ? std::max(fair(own), lone_ / routes) : fair(own);
         if (own.down || own.silent >= kSilentCalls) return kTrickle * budget * part;
         const double warm = seconds(set_.warmUp);
         if (t_ < own.coldAt + warm)
-            return kRamp * part * (set_.coldFrom + (1 - set_.coldFrom) * (t_ - own.coldAt) / warm);
+            return kRamp * part *
+                   (set_.coldCapacityShare + (1 - set_.coldCapacityShare) * (t_ - own.coldAt) / warm);
         if (inParts(own)) return kEqual * fair(own) * parts(own);
         // Danger: one of very many senders meets a destination seldom; its equal part of the limit is less
         // than chance brings it, and a pace at that part holds nearly all. There only refusals slow it down,
@@ -577,7 +583,8 @@
     bool believed(Owner& own) {
         if (!own.doubted) return true;
         if (own.provenAt == kNever && own.calls > 0) return false;
-        const double budget = set_.fallMultiple > 0 ? std::min(1.0, set_.fallMultiple * set_.coldFrom) : 1.0;
+        const double budget =
+            set_.overloadMultiple > 0 ? std::min(1.0, set_.overloadMultiple * set_.coldCapacityShare) : 1.0;
         const double base = (own.provenAt == kNever ? kTrickle : kDoubtBase) * budget * fair(own);
         if (own.belief < 1) own.belief = std::min(1.0, own.belief + base * (t_ - own.beliefAt));
         own.beliefAt = t_;
@@ -586,24 +593,26 @@
 
     // The retry design: may it be tried again, after what pause and at what cost?
     void retry(std::uint64_t seq, Message& m, Result result) {
-        const bool again = result == Result::full || result == Result::connectFailed ||
-                           result == Result::moot || m.effect != Effect::unsafe;
+        const bool again = result == Result::rejected || result == Result::connectFailed ||
+                           result == Result::notForwarded || m.effect != Effect::unsafe;
         if (!again || m.attempts >= set_.maxAttempts) return end(seq);
         // Danger: what could not go in time keeps trying, takes the room of fresh messages that are worth
-        // more, and the load stays up long after its cause has gone. Past its aim a message waits longer
-        // between tries, and does not hold up a line of its key. It may hurt where a destination is back just
-        // then.
+        // more, and the load stays up long after its cause has gone. PriorAttempts its aim a message waits
+        // longer between tries, and does not hold up a line of its key. It may hurt where a destination is
+        // back just then.
         const bool old = set_.senders > kFewSenders && t_ > m.aimAt;
         if (old && m.key && turns_.at(*m.key).line.size() > 1) return end(seq);
         const Sec range = kBackoffBase * std::pow(2.0, m.attempts) * (old ? kOldWaits : 1);
         m.notBefore = t_ + range * (kBackoffFloor + (1 - kBackoffFloor) * random());
-        m.price = result == Result::moot ? 0 : result == Result::full ? kThrottledCost : kRetryCost;
+        m.price = result == Result::notForwarded ? 0
+                  : result == Result::rejected   ? kThrottledCost
+                                                 : kRetryCost;
         if (m.notBefore + owner(m).latency > m.deadline) end(seq);
     }
 
     // ---- final answers ----
     bool mayRefuse(const Message& m) const {
-        const Grade& g = set_.grades[m.grade];
+        const MessageClass& g = set_.messageClasses[m.grade];
         return !m.mayHaveRun || m.effect == Effect::pure ||
                (m.effect == Effect::keyed && g.keyScope == KeyScope::all);
     }
@@ -612,7 +621,7 @@
         Message& m = messages_.at(seq);
         if (mayRefuse(m)) {
             Sec advice = std::max(owner(m).waitUntil - t_, 0.0);
-            if (set_.maxAdvice > Duration{}) advice = std::min(advice, seconds(set_.maxAdvice));
+            if (set_.maxRetryAfter > Duration{}) advice = std::min(advice, seconds(set_.maxRetryAfter));
             actions_.push_back(Refuse{m.id, duration(advice)});
         } else {
             actions_.push_back(Fail{m.id});
@@ -641,12 +650,12 @@
     void follow() {
         if (!set_.listOnRequest || t_ < followAt_) return;
         followAt_ = kNever;
-        actions_.push_back(Follow{});
+        actions_.push_back(SubscribeToList{});
     }
 
     // Until when another attempt may be sent, as far as the message's class goes.
     Sec lastSend(const Message& m) const {
-        const Grade& g = set_.grades[m.grade];
+        const MessageClass& g = set_.messageClasses[m.grade];
         if (!m.mayHaveRun || m.effect == Effect::pure) return kNever;
         return m.effect == Effect::unsafe ? m.taken - kTick : m.keyedFrom + seconds(g.keyWindow);
     }
@@ -706,12 +715,13 @@
 
     // Worth of the message if it is delivered then.
     double worth(const Message& m, Sec at) const {
-        const Grade& g = set_.grades[m.grade];
+        const MessageClass& g = set_.messageClasses[m.grade];
         if (at > m.deadline) return 0;
         const Sec late = std::max(0.0, at - m.aimAt);
-        if (set_.decay == Decay::halves)
-            return g.worth * std::max(g.lateShare, std::exp2(-late / seconds(g.aim)));
-        return g.worth * (1 - (1 - g.lateShare) * late / std::max(seconds(g.giveUp - g.aim), kTick));
+        if (set_.decay == Decay::exponential)
+            return g.value * std::max(g.lateValueShare, std::exp2(-late / seconds(g.deliveryTarget)));
+        return g.value * (1 - (1 - g.lateValueShare) * late /
+                                  std::max(seconds(g.timeToLive - g.deliveryTarget), kTick));
     }
 
     // What sending now rather than a little later saves, for each second that a slot is held for it.
@@ -756,7 +766,7 @@
 
     // The one gate: every send passes here, or waits.
     bool open(std::uint64_t seq, const Message& m, Target& target) {
-        const Grade& g = set_.grades[m.grade];
+        const MessageClass& g = set_.messageClasses[m.grade];
         if (!target.usable) return false;
         Owner& own = owner(target);
         if (t_ < own.waitUntil) return lookAt(own.waitUntil);
@@ -870,7 +880,7 @@
             const Sec until = std::max(droppedUntil_, scarceUntil_[target.kind]);
             const bool close = sparse(owner(target)) && t_ < until;
             target.keptUntil = close ? 0 : t_ + seconds(set_.keepAlive);
-            if (close) actions_.push_back(Close{id});
+            if (close) actions_.push_back(CloseIdleConnections{id});
         }
         idle_.clear();
     }
@@ -882,7 +892,7 @@
         const Sec next = std::max(lookAt_, t_ + kTick);
         if (next >= wakeAt_) return;
         wakeAt_ = next;
-        actions_.push_back(Wake{duration(next - t_)});
+        actions_.push_back(SetTimer{duration(next - t_)});
     }
     bool lookAt(Sec at) {
         lookAt_ = std::min(lookAt_, at);
@@ -942,8 +952,8 @@
 Sender::~Sender() = default;
 Sender::Sender(Sender&&) noexcept = default;
 Sender& Sender::operator=(Sender&&) noexcept = default;
-std::vector<Standing> Sender::standings() const { return impl_->standings(); }
-std::vector<Balance> Sender::balances() const { return impl_->balances(); }
+std::vector<DestinationHealth> Sender::destinationHealth() const { return impl_->destinationHealth(); }
+std::vector<RetryBucketState> Sender::retryBuckets() const { return impl_->retryBuckets(); }
 std::vector<Action> Sender::turn(Time now, const std::vector<Event>& events) {
     return impl_->turn(now, events);
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -105,8 +105,9 @@
     s.roster.probes.senders = platform.senders;
     s.registry.senders = platform.senders;
     s.registry.drainGrace = config.drainGrace;
-    s.roster.probes.coldBudget =
-        platform.fallMultiple > 0 ? std::min(1.0, platform.fallMultiple * platform.coldFrom) : 1.0;
+    s.roster.probes.coldBudget = platform.overloadMultiple > 0
+                                     ? std::min(1.0, platform.overloadMultiple * platform.coldCapacityShare)
+                                     : 1.0;
 }
 
 }  // namespace laurelhaven::settings
--- a/tests/laurelhaven/parser_test.cpp
+++ b/tests/laurelhaven/parser_test.cpp
@@ -265,7 +265,7 @@
     const std::map<std::string, std::string> environment{{"BALANCER_STATE", "/tmp"}};
     const auto config = config::fromText(good, environment);
     CHECK(config.settings.slots == 4 && config.settings.maxHeld == 6 && config.known.endpoints.size() == 1);
-    CHECK(config.settings.grades[0].keyWindow == std::chrono::seconds(15) &&
+    CHECK(config.settings.messageClasses[0].keyWindow == std::chrono::seconds(15) &&
           config.seed == 0x8c1f30d27a5be964);
     const auto refused = [&](const std::string& from, const std::string& to) {
         std::string text = good;
@@ -298,7 +298,7 @@
     const auto usual = config::fromText(text, environment).settings;
     CHECK(usual.slots == 8 && usual.maxAttempts == 8 && usual.maxHeld == 100);
     CHECK(usual.connectTimeout == std::chrono::seconds(1) && usual.keepAlive == std::chrono::seconds(5));
-    CHECK(usual.grades[0].aim == usual.grades[0].giveUp);
+    CHECK(usual.messageClasses[0].deliveryTarget == usual.messageClasses[0].timeToLive);
     // No more descriptors are dealt out than there are, and as many as there were on the platform's machines.
     for (std::size_t sockets = 32; sockets <= 1024; sockets += 16)
         for (const int slots : {1, 4, 30, 400}) {
--- a/tests/sender_test.cpp
+++ b/tests/sender_test.cpp
@@ -14,30 +14,30 @@
 
 Settings plain() {
     Settings s;
-    Grade pure{.aim = seconds(1), .giveUp = seconds(10), .lateShare = 0.1};
-    Grade keyed = pure, unsafe = pure, ordered = pure;
+    MessageClass pure{.deliveryTarget = seconds(1), .timeToLive = seconds(10), .lateValueShare = 0.1};
+    MessageClass keyed = pure, unsafe = pure, ordered = pure;
     keyed.effect = Effect::keyed;
     keyed.keyWindow = seconds(4);
     unsafe.effect = Effect::unsafe;
     ordered.effect = Effect::unsafe;
     ordered.inOrder = true;
-    s.grades = {pure, keyed, unsafe, ordered};
-    s.kinds = {Kind{}, Kind{.separateRoutes = true}};
+    s.messageClasses = {pure, keyed, unsafe, ordered};
+    s.kinds = {DestinationKind{}, DestinationKind{.separateRoutes = true}};
     s.slots = 8;
     s.maxHeld = 100;
     s.maxAttempts = 6;
-    s.maxAdvice = seconds(3);
-    s.coldFrom = 0.2;
+    s.maxRetryAfter = seconds(3);
+    s.coldCapacityShare = 0.2;
     s.warmUp = seconds(8);
-    s.fallMultiple = 2.5;
-    s.orderSettle = milliseconds(100);
+    s.overloadMultiple = 2.5;
+    s.orderingPause = milliseconds(100);
     return s;
 }
 
 /// Drives one sender, and keeps what is out.
 struct Rig {
     explicit Rig(Settings s = plain(), int endpoints = 1, int kind = 0) : sender(s, 1) {
-        ListNews news;
+        EndpointListUpdate news;
         for (int i = 0; i < endpoints; ++i)
             news.entries.push_back({"e" + std::to_string(i), 1, kind, 0, {}, 0});
         turn({news});
@@ -60,7 +60,7 @@
     }
     void hand(const std::string& id, int grade, Duration grace = seconds(10),
               std::optional<OrderKey> key = {}) {
-        turn({Handed{id, 1, grade, grace, key}});
+        turn({MessageAccepted{id, 1, grade, grace, key}});
     }
     Outcome result(const std::string& id, Result r, Duration wait = {}, const std::string& at = "e0") {
         Outcome o;
@@ -69,15 +69,15 @@
         o.attempt = attempts[id] - 1;
         o.result = r;
         o.took = milliseconds(100);
-        o.wait = wait;
-        o.over = r == Result::delivered;
+        o.retryAfter = wait;
+        o.concluded = r == Result::delivered;
         return o;
     }
     void answer(const std::string& id, Result r, Duration wait = {}) { turn({result(id, r, wait)}); }
     void run(Duration span) {
         for (const Duration until = now + span; now < until;) {
             now += milliseconds(10);
-            turn({Woken{}});
+            turn({TimerFired{}});
         }
     }
     int count(const std::string& id) const { return attempts.count(id) ? attempts.at(id) : 0; }
@@ -100,7 +100,7 @@
     s.warmUp = seconds(-1);
     EXPECT_THROW(Sender(s, 1), std::invalid_argument);
     s = plain();
-    s.grades.clear();
+    s.messageClasses.clear();
     EXPECT_THROW(Sender(s, 1), std::invalid_argument);
 }
 
@@ -142,7 +142,7 @@
         rig.run(seconds(3));
         EXPECT_EQ(rig.count("a"), 1);
     }
-    for (const Result r : {Result::full, Result::connectFailed}) {
+    for (const Result r : {Result::rejected, Result::connectFailed}) {
         Rig rig;
         rig.hand("a", 2);
         rig.answer("a", r);
@@ -154,7 +154,7 @@
 TEST(Rules, AMootAttemptIsKnownNotToHaveRun) {
     Rig rig;
     rig.hand("a", 2);
-    rig.answer("a", Result::moot);
+    rig.answer("a", Result::notForwarded);
     EXPECT_FALSE(rig.ended("a"));
     rig.run(seconds(2));
     EXPECT_EQ(rig.count("a"), 2);
@@ -165,13 +165,13 @@
     s.weights = Weights::nominal;
     s.slots = 40;
     Rig rig(s, 1);
-    rig.turn({ListNews{ListKind::changes, {{"e0", 1, 0, 0, EndpointState::inService, 4}}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{"e0", 1, 0, 0, EndpointState::inService, 4}}}});
     rig.hand("first", 0);
     rig.answer("first", Result::delivered);  // from the first answer on the told rate is kept
     for (int i = 0; i < 30; ++i) rig.hand("m" + std::to_string(i), 0, seconds(30));
     const auto before = rig.sent.size();
     rig.now += seconds(6);
-    rig.turn({Woken{}});
+    rig.turn({TimerFired{}});
     EXPECT_GE(rig.sent.size(), before + 1);
     EXPECT_LE(rig.sent.size(), before + 2);
 }
@@ -213,23 +213,23 @@
 TEST(Rules, OutcomeAndClientTimeoutInOneTurn) {
     Rig rig;
     rig.hand("a", 0);
-    rig.turn({rig.result("a", Result::timeout), ClientGone{"a"}});
+    rig.turn({rig.result("a", Result::timeout), MessageWithdrawn{"a"}});
     rig.run(seconds(3));
     EXPECT_EQ(rig.count("a"), 1);
-    rig.turn({ClientGone{"a"}, ClientGone{"never"}});
+    rig.turn({MessageWithdrawn{"a"}, MessageWithdrawn{"never"}});
 }
 
 TEST(Rules, DrainingAndGoneEndpointsGetNothingNew) {
-    for (const auto state : {EndpointState::draining, EndpointState::gone}) {
+    for (const auto state : {EndpointState::draining, EndpointState::removed}) {
         Rig rig;
-        rig.turn({ListNews{ListKind::changes, {{"e0", 1, 0, 0, state, 0}}}});
+        rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{"e0", 1, 0, 0, state, 0}}}});
         rig.run(milliseconds(250));
         rig.hand("a", 0);
         rig.run(seconds(2));
         EXPECT_EQ(rig.count("a"), 0);
     }
     Rig rig;
-    rig.turn({ListNews{ListKind::whole, {}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::full, {}}});
     rig.run(milliseconds(250));
     rig.hand("a", 0);
     rig.run(seconds(2));
@@ -240,9 +240,9 @@
     auto s = plain();
     s.weights = Weights::nominal;  // a high limit, so that nothing but the wait holds the second message
     Rig rig(s, 2);
-    rig.turn({ListNews{ListKind::changes, {{"e0", 1, 0, 0, EndpointState::inService, 90}}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{"e0", 1, 0, 0, EndpointState::inService, 90}}}});
     rig.hand("a", 0);
-    rig.answer("a", Result::full, milliseconds(900));
+    rig.answer("a", Result::rejected, milliseconds(900));
     const auto told = rig.now;
     rig.hand("b", 0);
     rig.run(seconds(9));
@@ -254,7 +254,7 @@
     Rig rig(plain(), 2, 1);
     rig.hand("a", 0);
     const auto at = rig.sent[0].endpoint;
-    rig.turn({rig.result("a", Result::full, milliseconds(900), at)});
+    rig.turn({rig.result("a", Result::rejected, milliseconds(900), at)});
     const auto told = rig.now;
     rig.hand("b", 0);
     rig.run(seconds(2));
@@ -273,7 +273,7 @@
     rig.hand("c", 3, seconds(10), 6);
     EXPECT_EQ(rig.count("a") + rig.count("b"), 1);
     EXPECT_EQ(rig.count("c"), 1);
-    rig.answer("a", Result::full);
+    rig.answer("a", Result::rejected);
     rig.run(milliseconds(10));
     EXPECT_EQ(rig.count("b"), 0);
     rig.run(seconds(4));
@@ -290,7 +290,7 @@
     Rig rig;
     rig.hand("a", 3, seconds(10), 5);
     rig.hand("b", 3, seconds(10), 5);
-    rig.turn({ClientGone{"a"}});
+    rig.turn({MessageWithdrawn{"a"}});
     rig.run(milliseconds(300));
     EXPECT_EQ(rig.count("b"), 0);
     rig.answer("a", Result::timeout);
@@ -309,7 +309,7 @@
     auto s = plain();
     s.weights = Weights::nominal;
     Rig rig(s, 1);
-    rig.turn({ListNews{ListKind::changes, {{"e0", 1, 0, 0, EndpointState::inService, 4}}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{"e0", 1, 0, 0, EndpointState::inService, 4}}}});
     for (int i = 0; i < 40; ++i) rig.hand("m" + std::to_string(i), 0, seconds(10));
     // Shut: all is refused for a while. Then all is served; refusals and successes both push.
     std::set<std::string> seen;
@@ -369,7 +369,7 @@
             const bool ok = room >= 1;
             if (ok) room -= 1;
             if (i > 200) ++tries, refusals += !ok;
-            rig.answer(id, ok ? Result::delivered : Result::full);
+            rig.answer(id, ok ? Result::delivered : Result::rejected);
         }
         rig.run(milliseconds(50));
     }
@@ -412,17 +412,17 @@
     s.mayCancel = true;
     s.slots = 4;
     Sender sender(s, 1);
-    ListNews news;
+    EndpointListUpdate news;
     for (int d = 0; d < 5; ++d)
         news.entries.push_back({"e" + std::to_string(d), DestinationId(d), 0, 0, {}, 0});
     Duration now = seconds(1);
     std::vector<Event> events{news};
     for (int d = 0; d < 4; ++d)
-        events.push_back(Handed{"stuck" + std::to_string(d), DestinationId(d), 0, seconds(10), {}});
+        events.push_back(MessageAccepted{"stuck" + std::to_string(d), DestinationId(d), 0, seconds(10), {}});
     sender.turn(Time(now), events);
     now += milliseconds(2200);
     std::vector<MessageId> off;
-    for (const auto& a : sender.turn(Time(now), {Handed{"well", 4, 0, seconds(10), {}}}))
+    for (const auto& a : sender.turn(Time(now), {MessageAccepted{"well", 4, 0, seconds(10), {}}}))
         if (const auto* cancel = std::get_if<Cancel>(&a)) off.push_back(cancel->id);
     ASSERT_EQ(off.size(), 1u);
     Outcome o{.id = off[0], .endpoint = "e" + off[0].substr(5), .result = Result::cancelled};
@@ -437,8 +437,8 @@
 TEST(Found, AFreshMessageGoesBeforeOneThatHasLostItsWorth) {
     auto s = plain();
     s.slots = 1;
-    s.decay = Decay::halves;
-    s.grades[0].lateShare = 0.3;
+    s.decay = Decay::exponential;
+    s.messageClasses[0].lateValueShare = 0.3;
     Rig rig(s, 1);
     rig.hand("busy", 2);
     rig.hand("old", 0, seconds(5));  // half of its time is gone: its worth stands at the floor
@@ -452,7 +452,7 @@
     auto s = plain();
     s.weights = Weights::nominal;
     Rig rig(s, 1);
-    rig.turn({ListNews{ListKind::changes, {{"e0", 1, 0, 0, EndpointState::inService, 6}}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{"e0", 1, 0, 0, EndpointState::inService, 6}}}});
     std::size_t handled = 0;
     double room = 1;
     int served = 0;
@@ -464,7 +464,7 @@
             const bool ok = room >= 1;
             if (ok) room -= 1;
             if (i >= 700) served += ok;
-            rig.answer(id, ok ? Result::delivered : Result::full);
+            rig.answer(id, ok ? Result::delivered : Result::rejected);
         }
         rig.run(milliseconds(50));
     }
@@ -479,8 +479,8 @@
     s.mayCancel = true;
     return s;
 }
-ListNews limitOf(double rate, int endpoints, int kind = 0) {
-    ListNews news{ListKind::whole, {}};
+EndpointListUpdate limitOf(double rate, int endpoints, int kind = 0) {
+    EndpointListUpdate news{ListUpdateKind::full, {}};
     for (int i = 0; i < endpoints; ++i)
         news.entries.push_back({"e" + std::to_string(i), 1, kind, 0, EndpointState::inService, rate});
     return news;
@@ -534,9 +534,9 @@
 // that all together would push the destination over.
 TEST(Many, AWarmUpGivesMoreToThoseThatHaveMore) {
     auto s = oneOfMany();
-    s.warmUp = seconds(14), s.coldFrom = 0.19, s.fallMultiple = 2;
-    const auto calls =
-        callsOfOneWithPlenty(s, 270, 1, s.warmUp, {Standing{.destination = 1, .sinceCold = seconds(0)}});
+    s.warmUp = seconds(14), s.coldCapacityShare = 0.19, s.overloadMultiple = 2;
+    const auto calls = callsOfOneWithPlenty(
+        s, 270, 1, s.warmUp, {DestinationHealth{.destination = 1, .sinceRecovery = seconds(0)}});
     // Its equal part, 1.25 times what the destination can do, is 9 calls in these 14 s, and one at once.
     EXPECT_GE(calls, 12u);
     EXPECT_LE(calls, 14u);
@@ -549,7 +549,7 @@
 TEST(Many, AWarmUpFollowsTheDeliveriesOfWhatWasGone) {
     const auto callsAfter = [](int senders, double limit, Result outage) {
         auto s = oneOfMany();
-        s.warmUp = seconds(14), s.coldFrom = 0.19, s.fallMultiple = 2;
+        s.warmUp = seconds(14), s.coldCapacityShare = 0.19, s.overloadMultiple = 2;
         s.senders = senders, s.maxHeld = 400;
         Rig rig(s, 1);
         rig.turn({limitOf(limit, 1)});
@@ -569,9 +569,9 @@
         return rig.sent.size() - from;
     };
     for (const auto& [senders, limit] : {std::pair{300, 270.0}, {100, 281.0}}) {
-        // The equal part of a warm-up: kRamp times the mean of what it can do, for 14 s.
+        // The equal part of a warm-up: kRecoveryRateFactor times the mean of what it can do, for 14 s.
         const double part = 1.25 * limit / senders * 14 * (0.19 + 1) / 2;
-        const auto refused = callsAfter(senders, limit, Result::full);
+        const auto refused = callsAfter(senders, limit, Result::rejected);
         const auto gone = callsAfter(senders, limit, Result::connectFailed);
         EXPECT_LE(static_cast<double>(refused), part / (1 - 0.25) + 3) << senders;
         EXPECT_GE(static_cast<double>(gone), 1.5 * part) << senders;
@@ -604,15 +604,16 @@
 }
 
 TEST(Many, RefusalsThatTellNothingOrHungQueuesBecomeAnOutage) {
-    EXPECT_LE(triesOfTwenty(Result::full, {}, 1), 70);
-    EXPECT_LE(triesOfTwenty(Result::full, milliseconds(360), 1), 70);
+    EXPECT_LE(triesOfTwenty(Result::rejected, {}, 1), 70);
+    EXPECT_LE(triesOfTwenty(Result::rejected, milliseconds(360), 1), 70);
     // Routes apart: what one refuses speaks of its fellows.
-    EXPECT_LE(triesOfTwenty(Result::full, {}, 3, 1), 90);
+    EXPECT_LE(triesOfTwenty(Result::rejected, {}, 3, 1), 90);
 }
 
 bool seenDown(const Rig& rig) {
-    const auto standings = rig.sender.standings();
-    return std::any_of(standings.begin(), standings.end(), [](const auto& x) { return x.down; });
+    const auto destinationHealth = rig.sender.destinationHealth();
+    return std::any_of(destinationHealth.begin(), destinationHealth.end(),
+                       [](const auto& x) { return x.down; });
 }
 
 TEST(Many, TheShareLeftTellsALimitFromAShutDestination) {
@@ -620,7 +621,7 @@
         Rig rig(oneOfMany(), 1);
         rig.turn({limitOf(90, 1)});
         rig.hand("a", 0);
-        auto o = rig.result("a", Result::full);
+        auto o = rig.result("a", Result::rejected);
         o.allowanceLeft = left, o.allowedRate = 90;
         rig.turn({o});
         EXPECT_EQ(seenDown(rig), left > 0.5) << left;
@@ -663,7 +664,7 @@
             rig.sender = Sender(oneOfMany(), seed);
             rig.turn({limitOf(900, 2)});
             rig.hand("a", 0);
-            auto o = rig.result("a", Result::full, {}, rig.sent.at(0).endpoint);
+            auto o = rig.result("a", Result::rejected, {}, rig.sent.at(0).endpoint);
             o.allowanceLeft = left, o.allowedRate = 900;
             rig.turn({o});
             rig.run(seconds(5));
@@ -704,7 +705,7 @@
     rig.hand("a", 3, seconds(10), 5);
     rig.hand("b", 3, seconds(10), 5);
     rig.run(seconds(2));  // the aim is 1 s
-    rig.answer("a", Result::full);
+    rig.answer("a", Result::rejected);
     EXPECT_TRUE(rig.refused.count("a"));
     rig.run(seconds(4));
     EXPECT_EQ(rig.count("b"), 1);
@@ -715,7 +716,8 @@
     auto s = oneOfMany();
     s.connectTimeout = seconds(1);
     Rig rig(s, 1);
-    rig.turn({ListNews{ListKind::changes, {{"far", 2, 0, 0, {}, 0}, {"other", 3, 1, 0, {}, 0}}}});
+    rig.turn(
+        {EndpointListUpdate{ListUpdateKind::delta, {{"far", 2, 0, 0, {}, 0}, {"other", 3, 1, 0, {}, 0}}}});
     rig.hand("a", 0);
     auto o = rig.result("a", result);
     o.took = took;
@@ -723,9 +725,9 @@
     int closes = 0;
     for (const DestinationId d : {2, 3}) {
         const std::string id = "m" + std::to_string(d);
-        rig.turn({Handed{id, d, 0, seconds(10), {}}});
+        rig.turn({MessageAccepted{id, d, 0, seconds(10), {}}});
         for (const auto& a : rig.turn({rig.result(id, Result::delivered, {}, rig.sent.back().endpoint)}))
-            closes += std::holds_alternative<Close>(a);
+            closes += std::holds_alternative<CloseIdleConnections>(a);
     }
     return closes;
 }
@@ -743,21 +745,21 @@
         auto s = oneOfMany();
         s.keepAlive = seconds(5);
         Rig rig(s, 0);
-        rig.turn({ListNews{ListKind::changes,
-                           {{"x", 2, 0, 0, {}, 0}, {"y", 3, 0, 0, {}, 0}, {"z", 4, 0, 0, {}, 0}}}});
+        rig.turn({EndpointListUpdate{ListUpdateKind::delta,
+                                     {{"x", 2, 0, 0, {}, 0}, {"y", 3, 0, 0, {}, 0}, {"z", 4, 0, 0, {}, 0}}}});
         int closes = 0;
         const auto call = [&](const std::string& id, DestinationId d, Result result, bool report, bool wait) {
-            rig.turn({Handed{id, d, 0, seconds(10), {}}});
+            rig.turn({MessageAccepted{id, d, 0, seconds(10), {}}});
             ASSERT_EQ(rig.count(id), 1);
             auto o = rig.result(id, result, {}, d == 2 ? "x" : d == 3 ? "y" : "z");
             if (report) o.allowedRate = 100, o.allowanceLeft = 0.9;
-            if (wait) o.wait = milliseconds(100);
-            for (const auto& a : rig.turn({o})) closes += std::holds_alternative<Close>(a);
+            if (wait) o.retryAfter = milliseconds(100);
+            for (const auto& a : rig.turn({o})) closes += std::holds_alternative<CloseIdleConnections>(a);
             rig.now += seconds(2);
         };
         call("a", 4, Result::delivered, way.reports, false);
         if (way.kept) call("b", 2, Result::delivered, way.reports, false);
-        call("c", 2, Result::full, way.report, way.wait);
+        call("c", 2, Result::rejected, way.report, way.wait);
         closes = 0;
         // Two others of its kind deliver: one met before, one for the first time.
         call("d", 4, Result::delivered, way.reports, false);
@@ -782,7 +784,7 @@
     auto s = oneOfMany();
     s.connectTimeout = seconds(1);
     Rig rig(s, 1);
-    rig.turn({ListNews{ListKind::changes, {{"far", 2, 0, 0, {}, 0}}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{"far", 2, 0, 0, {}, 0}}}});
     rig.hand("a", 0, seconds(60));
     auto refused = rig.result("a", Result::connectFailed);
     refused.took = milliseconds(20);
@@ -791,10 +793,10 @@
     ASSERT_EQ(rig.count("a"), 2);
     refused.attempt = 1;
     rig.turn({refused});
-    rig.turn({Handed{"b", 2, 0, seconds(10), {}}});
+    rig.turn({MessageAccepted{"b", 2, 0, seconds(10), {}}});
     ASSERT_EQ(rig.count("b"), 1);
     for (const auto& a : rig.turn({rig.result("b", Result::delivered, {}, "far")}))
-        EXPECT_FALSE(std::holds_alternative<Close>(a));
+        EXPECT_FALSE(std::holds_alternative<CloseIdleConnections>(a));
 }
 
 TEST(Found, NoConnectionIsKeptWhileThoseThatStoodIdleFail) {
@@ -808,11 +810,11 @@
             const DestinationId d = 10 + i / 2;
             const std::string id = "m" + std::to_string(i);
             const std::string at = "x" + std::to_string(d);
-            rig.turn({ListNews{ListKind::changes, {{at, d, 0, 0, {}, 0}}}});
-            rig.turn({Handed{id, d, 0, seconds(10), {}}});
+            rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{at, d, 0, 0, {}, 0}}}});
+            rig.turn({MessageAccepted{id, d, 0, seconds(10), {}}});
             const auto r = i % 2 == 0 && !fresh ? Result::delivered : Result::timeout;
             for (const auto& a : rig.turn({rig.result(id, r, {}, at)}))
-                closes += std::holds_alternative<Close>(a);
+                closes += std::holds_alternative<CloseIdleConnections>(a);
             rig.now += milliseconds(100);
         }
         if (fresh) EXPECT_EQ(closes, 0);
@@ -820,7 +822,7 @@
     }
 }
 
-/// Turns a sender only when its own Wake is due, a nanosecond early, as a caller's rounding may bring it.
+/// Turns a sender only when its own SetTimer is due, a nanosecond early, as a caller's rounding may bring it.
 TEST(Found, WakesOnTheSendersOwnRequestsAreEnough) {
     Sender sender(plain(), 1);
     Duration now = seconds(1000);
@@ -828,18 +830,18 @@
     bool ended = false;
     const auto turn = [&](std::vector<Event> events) {
         for (const auto& a : sender.turn(Time(now), events)) {
-            if (const auto* wake = std::get_if<Wake>(&a)) wakes.insert(now + wake->after - Duration(1));
+            if (const auto* wake = std::get_if<SetTimer>(&a)) wakes.insert(now + wake->after - Duration(1));
             ended = ended || std::holds_alternative<Refuse>(a);
         }
     };
-    turn({Handed{"a", 1, 0, seconds(10), {}}});  // no endpoint is listed
-    turn({Handed{"b", 1, 0, seconds(2), {}}});
+    turn({MessageAccepted{"a", 1, 0, seconds(10), {}}});  // no endpoint is listed
+    turn({MessageAccepted{"b", 1, 0, seconds(2), {}}});
     int turns = 0;
     while (!wakes.empty() && turns < 1000) {
         now = *wakes.begin();
         wakes.erase(wakes.begin());
         ended = false;
-        turn({Woken{}});
+        turn({TimerFired{}});
         ++turns;
     }
     EXPECT_TRUE(ended);
@@ -851,14 +853,14 @@
     Rig rig(plain(), 0);
     for (int i = 0; i < 200; ++i) {
         const auto id = "x" + std::to_string(i);
-        rig.turn({ListNews{ListKind::whole, {{id, 1, 0, 0, EndpointState::inService, 0}}}});
+        rig.turn({EndpointListUpdate{ListUpdateKind::full, {{id, 1, 0, 0, EndpointState::inService, 0}}}});
         rig.hand("m" + std::to_string(i), 0);
         ASSERT_EQ(rig.sent.back().endpoint, id);
         rig.turn({rig.result("m" + std::to_string(i), Result::delivered, {}, id)});
     }
     // One that was forgotten may come back at another destination.
-    rig.turn({ListNews{ListKind::whole, {{"x0", 2, 0, 0, EndpointState::inService, 0}}}});
-    rig.turn({Handed{"n", 2, 0, seconds(10), {}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"x0", 2, 0, 0, EndpointState::inService, 0}}}});
+    rig.turn({MessageAccepted{"n", 2, 0, seconds(10), {}}});
     EXPECT_EQ(rig.count("n"), 1);
 }
 
@@ -867,7 +869,7 @@
         Rig rig(plain(), 2);
         for (int i = 0; i < 10; ++i) rig.hand("m" + std::to_string(i), i % 3);
         for (std::size_t i = 0; i < 4 && i < rig.sent.size(); ++i)
-            rig.answer(std::string(rig.sent[i].id), i % 2 ? Result::full : Result::error);
+            rig.answer(std::string(rig.sent[i].id), i % 2 ? Result::rejected : Result::error);
         rig.run(seconds(4));
         std::string text;
         for (std::size_t i = 0; i < rig.sent.size(); ++i)
@@ -879,7 +881,8 @@
 
 TEST(Library, StrayEventsArePassedOver) {
     Rig rig;
-    rig.turn({Handed{"x", 1, 99, seconds(1), {}}, ClientGone{"y"}, rig.result("z", Result::full)});
+    rig.turn({MessageAccepted{"x", 1, 99, seconds(1), {}}, MessageWithdrawn{"y"},
+              rig.result("z", Result::rejected)});
     EXPECT_TRUE(rig.sent.empty());
 }
 
@@ -889,23 +892,23 @@
     Sender sender(s, 3);
     const auto asks = [&](Duration at, std::vector<Event> events) {
         int n = 0;
-        for (const auto& a : sender.turn(Time(at), events)) n += std::holds_alternative<Follow>(a);
+        for (const auto& a : sender.turn(Time(at), events)) n += std::holds_alternative<SubscribeToList>(a);
         return n;
     };
     EXPECT_EQ(asks(seconds(1), {}), 1);
-    EXPECT_EQ(asks(seconds(2), {ListNews{ListKind::failed, {}}}), 0);
-    EXPECT_EQ(asks(seconds(4), {Woken{}}), 1);
-    EXPECT_EQ(asks(seconds(5), {ListNews{ListKind::whole, {}}}), 0);
+    EXPECT_EQ(asks(seconds(2), {EndpointListUpdate{ListUpdateKind::failed, {}}}), 0);
+    EXPECT_EQ(asks(seconds(4), {TimerFired{}}), 1);
+    EXPECT_EQ(asks(seconds(5), {EndpointListUpdate{ListUpdateKind::full, {}}}), 0);
 }
 
 TEST(Restart, AttemptsAndKeyWindowSpanIt) {
     Rig rig;
-    const auto hand = [&](const std::string& id, int grade, Past past) {
-        rig.turn({Handed{id, 1, grade, seconds(9), {}, past}});
+    const auto hand = [&](const std::string& id, int grade, PriorAttempts past) {
+        rig.turn({MessageAccepted{id, 1, grade, seconds(9), {}, past}});
     };
     hand("spent", 0, {.attempts = 6});
-    hand("window", 1, {.attempts = 1, .mayHaveRun = true, .sinceRan = seconds(4)});
-    hand("unsafe", 2, {.attempts = 1, .mayHaveRun = true, .sinceRan = seconds(1)});
+    hand("window", 1, {.attempts = 1, .mayHaveRun = true, .sinceMayHaveRun = seconds(4)});
+    hand("unsafe", 2, {.attempts = 1, .mayHaveRun = true, .sinceMayHaveRun = seconds(1)});
     EXPECT_TRUE(rig.refused.count("spent") && rig.refused.count("window") && rig.failed.count("unsafe"));
     EXPECT_TRUE(rig.sent.empty());
     hand("once", 0, {.attempts = 5});
@@ -925,10 +928,11 @@
         settings.weights = Weights::nominal;
         settings.slots = 40;
         Rig rig(settings, 0);
-        rig.turn({ListNews{ListKind::whole, {{"e0", 1, 0, 0, EndpointState::inService, 5}}}});
+        rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"e0", 1, 0, 0, EndpointState::inService, 5}}}});
         std::vector<Event> backlog;
         for (int i = 0; i < 20; ++i)
-            backlog.push_back(Handed{"m" + std::to_string(i), 1, 0, seconds(10), {}, Past{0, failures}});
+            backlog.push_back(
+                MessageAccepted{"m" + std::to_string(i), 1, 0, seconds(10), {}, PriorAttempts{0, failures}});
         rig.turn(backlog);
         rig.run(seconds(2));
         return rig.sent.size();
@@ -944,15 +948,15 @@
     auto settings = plain();
     settings.weights = Weights::nominal;
     settings.slots = 40;
-    settings.coldFrom = 0.19;
-    settings.fallMultiple = 2;
+    settings.coldCapacityShare = 0.19;
+    settings.overloadMultiple = 2;
     settings.warmUp = seconds(14);
     Rig rig(settings, 0);
-    rig.turn({ListNews{ListKind::whole, {{"e0", 1, 0, 0, EndpointState::inService, 10}}},
-              Standing{.destination = 1, .doubted = true}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"e0", 1, 0, 0, EndpointState::inService, 10}}},
+              DestinationHealth{.destination = 1, .unconfirmed = true}});
     std::vector<Event> backlog;
     for (int i = 0; i < 200; ++i)
-        backlog.push_back(Handed{"m" + std::to_string(i), 1, 0, seconds(10), {}, {}});
+        backlog.push_back(MessageAccepted{"m" + std::to_string(i), 1, 0, seconds(10), {}, {}});
     rig.turn(backlog);
     std::vector<std::size_t> sent;
     std::size_t answered = 0;
@@ -994,26 +998,28 @@
     auto settings = plain();
     settings.weights = Weights::nominal;
     Rig rig(settings, 0);
-    rig.turn({ListNews{ListKind::whole, {{"e0", 1, 0, 0, EndpointState::inService, 10}}},
-              Standing{.destination = 1, .doubted = true}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"e0", 1, 0, 0, EndpointState::inService, 10}}},
+              DestinationHealth{.destination = 1, .unconfirmed = true}});
     const auto doubted = [&] {
-        for (const auto& s : rig.sender.standings())
-            if (s.destination == 1) return s.doubted;
+        for (const auto& s : rig.sender.destinationHealth())
+            if (s.destination == 1) return s.unconfirmed;
         return false;
     };
     EXPECT_TRUE(doubted());
     rig.hand("a", 0);
-    rig.turn({Standing{.destination = 1, .doubted = false}});  // confirmed, but a call is out: capped already
+    rig.turn({DestinationHealth{.destination = 1,
+                                .unconfirmed = false}});  // confirmed, but a call is out: capped already
     EXPECT_TRUE(doubted());
     rig.answer("a", Result::delivered);
-    rig.turn({Standing{.destination = 1, .doubted = false}});
+    rig.turn({DestinationHealth{.destination = 1, .unconfirmed = false}});
     EXPECT_TRUE(doubted());
     rig.run(seconds(9));  // the warm-up is 8 s
     rig.hand("b", 0);
     rig.answer("b", Result::delivered);
     EXPECT_FALSE(doubted());
-    rig.turn({Standing{.destination = 1, .doubted = true}});
-    rig.turn({Standing{.destination = 1, .doubted = false}});  // nothing was sent meanwhile: it is lifted
+    rig.turn({DestinationHealth{.destination = 1, .unconfirmed = true}});
+    rig.turn({DestinationHealth{.destination = 1,
+                                .unconfirmed = false}});  // nothing was sent meanwhile: it is lifted
     EXPECT_FALSE(doubted());
 }
 
@@ -1021,10 +1027,10 @@
     auto settings = plain();
     settings.weights = Weights::nominal;
     Rig rig(settings, 0);
-    rig.turn({ListNews{ListKind::whole,
-                       {{"e0", 1, 0, 0, EndpointState::inService, 3},
-                        {"e1", 1, 0, 0, EndpointState::inService, 3}}},
-              Standing{.destination = 1, .doubted = true}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::full,
+                                 {{"e0", 1, 0, 0, EndpointState::inService, 3},
+                                  {"e1", 1, 0, 0, EndpointState::inService, 3}}},
+              DestinationHealth{.destination = 1, .unconfirmed = true}});
     rig.hand("a", 0);
     ASSERT_EQ(rig.sent.size(), 1u);
     rig.turn({rig.result("a", Result::connectFailed, {}, rig.sent[0].endpoint)});
@@ -1042,7 +1048,7 @@
             rig.hand(id, 0);
             auto result = rig.result(id, Result::reset);
             result.stale = stale;
-            rig.turn({result, ClientGone{id}});
+            rig.turn({result, MessageWithdrawn{id}});
         }
         return seenDown(rig);
     };
@@ -1057,10 +1063,11 @@
     settings.weights = Weights::nominal;
     settings.slots = 40;
     Rig rig(settings, 0);
-    rig.turn({ListNews{ListKind::whole, {{"e0", 1, 0, 0, EndpointState::inService, 50}}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"e0", 1, 0, 0, EndpointState::inService, 50}}}});
     std::vector<Event> backlog;
     for (int i = 0; i < 30; ++i)
-        backlog.push_back(Handed{"m" + std::to_string(i), 1, 0, seconds(10), {}, Past{0, 2}});
+        backlog.push_back(
+            MessageAccepted{"m" + std::to_string(i), 1, 0, seconds(10), {}, PriorAttempts{0, 2}});
     rig.turn(backlog);
     for (std::size_t i = 0, answered = 0; i < 180; ++i) {
         rig.run(milliseconds(50));  // nine seconds of it
@@ -1075,14 +1082,14 @@
 TEST(Restart, WhatNeverLeftGoesBeforeFreshMessages) {
     auto settings = plain();
     settings.weights = Weights::nominal;
-    settings.decay = Decay::halves;
+    settings.decay = Decay::exponential;
     settings.slots = 40;
     Rig rig(settings, 0);
-    rig.turn({ListNews{ListKind::whole, {{"e0", 1, 0, 0, EndpointState::inService, 5}}}});
+    rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"e0", 1, 0, 0, EndpointState::inService, 5}}}});
     constexpr int kFound = 20;
     std::vector<Event> backlog;
     for (int i = 0; i < kFound; ++i)
-        backlog.push_back(Handed{"m" + std::to_string(i), 1, 0, seconds(6), {}, Past{}});
+        backlog.push_back(MessageAccepted{"m" + std::to_string(i), 1, 0, seconds(6), {}, PriorAttempts{}});
     rig.turn(backlog);
     rig.answer("m0", Result::connectFailed);
     std::size_t answered = 1;
@@ -1099,10 +1106,10 @@
 // What was called and failed has had its turn: it waits its backoff, and is worth what it is worth.
 TEST(Restart, WhatHasBeenTriedGoesFirstNoMore) {
     auto settings = plain();
-    settings.decay = Decay::halves;
+    settings.decay = Decay::exponential;
     settings.slots = 1;
     Rig rig(settings);
-    rig.turn({Handed{"old", 1, 0, seconds(5), {}, Past{}}});
+    rig.turn({MessageAccepted{"old", 1, 0, seconds(5), {}, PriorAttempts{}}});
     rig.hand("fresh", 0);
     ASSERT_EQ(rig.sent.size(), 1u);
     rig.answer("old", Result::error);
@@ -1114,44 +1121,44 @@
 }
 
 TEST(Restart, WhatWasColdOrDownStaysSo) {
-    const auto sentInTwoSeconds = [](std::optional<Standing> standing) {
+    const auto sentInTwoSeconds = [](std::optional<DestinationHealth> standing) {
         auto settings = plain();
         settings.weights = Weights::nominal;
         settings.slots = 40;
         Rig rig(settings, 0);
-        rig.turn({ListNews{ListKind::whole, {{"e0", 1, 0, 0, EndpointState::inService, 10}}}});
+        rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"e0", 1, 0, 0, EndpointState::inService, 10}}}});
         if (standing) rig.turn({*standing});
         for (int i = 0; i < 40; ++i) rig.hand("m" + std::to_string(i), 0);
         rig.run(seconds(2));
         return rig.sent.size();
     };
     EXPECT_GE(sentInTwoSeconds({}), 20u);
-    EXPECT_LE(sentInTwoSeconds(Standing{.destination = 1, .down = true}), 10u);
-    EXPECT_LE(sentInTwoSeconds(Standing{.destination = 1, .sinceCold = seconds(1)}), 13u);
-    EXPECT_GE(sentInTwoSeconds(Standing{.destination = 1, .sinceCold = seconds(60)}), 20u);
+    EXPECT_LE(sentInTwoSeconds(DestinationHealth{.destination = 1, .down = true}), 10u);
+    EXPECT_LE(sentInTwoSeconds(DestinationHealth{.destination = 1, .sinceRecovery = seconds(1)}), 13u);
+    EXPECT_GE(sentInTwoSeconds(DestinationHealth{.destination = 1, .sinceRecovery = seconds(60)}), 20u);
 }
 
 TEST(Restart, StandingsTellWhatALaterLifeOughtToKnow) {
     auto settings = plain();
     settings.weights = Weights::nominal;
     Rig rig(settings, 0);
-    rig.turn({ListNews{ListKind::whole, {{"e0", 1, 0, 0, EndpointState::inService, 10}}}});
-    EXPECT_TRUE(rig.sender.standings().empty());
+    rig.turn({EndpointListUpdate{ListUpdateKind::full, {{"e0", 1, 0, 0, EndpointState::inService, 10}}}});
+    EXPECT_TRUE(rig.sender.destinationHealth().empty());
     for (int i = 0; i < 3; ++i) {
         rig.hand("m" + std::to_string(i), 0);
         rig.answer("m" + std::to_string(i), Result::reset);
         rig.run(milliseconds(500));
     }
-    ASSERT_EQ(rig.sender.standings().size(), 1u);
-    EXPECT_TRUE(rig.sender.standings()[0].down);
-    EXPECT_EQ(rig.sender.standings()[0].told, 10);
+    ASSERT_EQ(rig.sender.destinationHealth().size(), 1u);
+    EXPECT_TRUE(rig.sender.destinationHealth()[0].down);
+    EXPECT_EQ(rig.sender.destinationHealth()[0].rateLimit, 10);
     rig.run(seconds(3));
     for (const auto& [id, n] : std::map(rig.attempts))
         if (!rig.ended(id)) rig.answer(id, Result::delivered);
-    ASSERT_EQ(rig.sender.standings().size(), 1u);
-    EXPECT_FALSE(rig.sender.standings()[0].down);
-    ASSERT_TRUE(rig.sender.standings()[0].sinceCold);
-    EXPECT_LE(*rig.sender.standings()[0].sinceCold, seconds(1));
+    ASSERT_EQ(rig.sender.destinationHealth().size(), 1u);
+    EXPECT_FALSE(rig.sender.destinationHealth()[0].down);
+    ASSERT_TRUE(rig.sender.destinationHealth()[0].sinceRecovery);
+    EXPECT_LE(*rig.sender.destinationHealth()[0].sinceRecovery, seconds(1));
 }
 
 /// Hands so many messages to destination 1 and lets it end as said.
@@ -1165,17 +1172,17 @@
     }
 }
 
-double tokens(const Rig& rig) { return rig.sender.balances().at(0).tokens; }
+double tokens(const Rig& rig) { return rig.sender.retryBuckets().at(0).tokens; }
 
 TEST(Bucket, WhatIsPaidForATryThatIsNeverSentIsGivenBack) {
     Rig rig;
-    handAll(rig, "m", 5, Result::full, seconds(2));
+    handAll(rig, "m", 5, Result::rejected, seconds(2));
     rig.run(seconds(1));
     EXPECT_LT(tokens(rig), 20);  // each has paid for its retry, and the wait holds it
-    for (int i = 0; i < 5; ++i) rig.turn({ClientGone{"m" + std::to_string(i)}});
+    for (int i = 0; i < 5; ++i) rig.turn({MessageWithdrawn{"m" + std::to_string(i)}});
     EXPECT_EQ(rig.sent.size(), 5u);
     EXPECT_EQ(tokens(rig), 50);
-    const auto books = rig.sender.balances().at(0);
+    const auto books = rig.sender.retryBuckets().at(0);
     EXPECT_EQ(books.tokens, books.capacity + books.gained - books.spent);
     EXPECT_EQ(books.spent, 0);
 }
@@ -1184,7 +1191,7 @@
     auto s = plain();
     s.slots = 16;
     Rig rig(s);
-    handAll(rig, "m", 10, Result::full);
+    handAll(rig, "m", 10, Result::rejected);
     rig.run(milliseconds(420));
     EXPECT_EQ(rig.refused.size(), 5u);  // 50 tokens are five retries, and nobody waits for more
     EXPECT_GE(tokens(rig), 0);
@@ -1198,9 +1205,9 @@
     rig.hand("m", 0, seconds(10));
     rig.hand("n", 0, seconds(10));
     rig.hand("patient", 0, seconds(30));
-    rig.answer("m", Result::full, seconds(20));
+    rig.answer("m", Result::rejected, seconds(20));
     EXPECT_TRUE(rig.ended("m"));
-    rig.answer("n", Result::full, seconds(20));
+    rig.answer("n", Result::rejected, seconds(20));
     EXPECT_TRUE(rig.ended("n"));
     EXPECT_EQ(rig.refused.at("m"), Duration(seconds(3)));  // as far as clients heed it
     rig.hand("late", 0, seconds(10));
@@ -1212,8 +1219,8 @@
 }
 
 /// News of the list: these are all that there is.
-ListNews listOf(const std::vector<std::pair<EndpointId, DestinationId>>& all) {
-    ListNews news;
+EndpointListUpdate listOf(const std::vector<std::pair<EndpointId, DestinationId>>& all) {
+    EndpointListUpdate news;
     for (const auto& [id, destination] : all) news.entries.push_back({id, destination, 0, 0, {}, 0});
     return news;
 }
@@ -1221,7 +1228,7 @@
 TEST(Replaced, AToldWaitHoldsForTheEndpointsThatComeAfter) {
     Rig rig;
     rig.hand("m", 0);
-    rig.answer("m", Result::full, seconds(100));
+    rig.answer("m", Result::rejected, seconds(100));
     rig.turn({listOf({})});
     rig.run(seconds(60));
     rig.turn({listOf({{"other", 2}})});  // what is gone for good is forgotten with such news
@@ -1311,9 +1318,10 @@
     for (const bool out : {false, true}) {
         Rig rig;
         if (out) rig.hand("m", 0);
-        rig.turn({ListNews{ListKind::changes, {{"e0", 2, 0, 0, {}, 0}}}});
+        rig.turn({EndpointListUpdate{ListUpdateKind::delta, {{"e0", 2, 0, 0, {}, 0}}}});
         rig.sent.clear();
-        rig.turn({Handed{"n", 2, 0, seconds(10), {}}, Handed{"old", 1, 0, seconds(10), {}}});
+        rig.turn(
+            {MessageAccepted{"n", 2, 0, seconds(10), {}}, MessageAccepted{"old", 1, 0, seconds(10), {}}});
         EXPECT_EQ(rig.sent.size(), out ? 0u : 1u);
         if (out) rig.answer("m", Result::delivered);
         rig.run(milliseconds(50));
