--- a/bench/list_bench.cpp
+++ b/bench/list_bench.cpp
@@ -56,15 +56,15 @@
         std::vector<std::string> records;
         for (std::size_t i = 0; i < endpoints; ++i) {
             membership::Entry entry;
-            entry.is = endpoint(i, destinations);
+            entry.endpoint = endpoint(i, destinations);
             entry.index = 7;
-            entry.firstTold = entry.confirmedAt = now - 5000;
-            entry.by = trust::Source::discovery;
-            records.push_back(kept::record(entry));
+            entry.firstListedAt = entry.confirmedAt = now - 5000;
+            entry.confirmedBy = trust::Source::discovery;
+            records.push_back(kept::encode(entry));
         }
-        kept::File file(folder, 200'000'000, "n0");
+        kept::SavedEndpointListFile file(folder, 200'000'000, "n0");
         std::size_t left = 0;
-        file.replace(records, kept::mark(7, 0, {}, now - 5000), now - 5000, left);
+        file.replace(records, kept::encodeListState(7, 0, {}, now - 5000), now - 5000, left);
         bytes = file.bytes();
     }
     const auto config = config::fromText(kConfiguration, {{"BALANCER_STATE", folder}});
@@ -86,7 +86,7 @@
         membership::Membership list({});
         for (std::size_t i = 0; i < endpoints; ++i) {
             membership::Entry entry;
-            entry.is = endpoint(i, destinations);
+            entry.endpoint = endpoint(i, destinations);
             list.restore(std::move(entry));
         }
         alone = inUse() - empty;
--- a/lab/rig/world.cpp
+++ b/lab/rig/world.cpp
@@ -145,18 +145,19 @@
         std::vector<std::string> records;
         for (const auto& e : before_) {
             membership::Entry entry;
-            entry.is = e;
+            entry.endpoint = e;
             entry.index = beforeIndex_;
-            entry.firstTold = then - 3'600'000;
+            entry.firstListedAt = then - 3'600'000;
             entry.confirmedAt = then;
-            entry.by = trust::Source::discovery;
-            entry.traffic = e.weight * 100;
-            records.push_back(kept::record(entry));
+            entry.confirmedBy = trust::Source::discovery;
+            entry.deliveries = e.weight * 100;
+            records.push_back(kept::encode(entry));
         }
-        kept::File file(sender.state(), kept::share(static_cast<std::uint64_t>(set_.diskMb) * 1000000, 0.06),
-                        sender.plan().name);
+        kept::SavedEndpointListFile file(
+            sender.state(), kept::listBudgetBytes(static_cast<std::uint64_t>(set_.diskMb) * 1000000, 0.06),
+            sender.plan().name);
         std::size_t left = 0;
-        if (!file.replace(records, kept::mark(beforeIndex_, 0, {}, then), then, left) || left > 0)
+        if (!file.replace(records, kept::encodeListState(beforeIndex_, 0, {}, then), then, left) || left > 0)
             throw std::runtime_error("the kept list could not be written to " + sender.state());
     }
 
--- a/src/clock/record_clock.cpp
+++ b/src/clock/record_clock.cpp
@@ -40,20 +40,22 @@
 }
 
 std::string encoded(const Anchor& anchor) {
-    return store::framed(
-        kMark,
-        store::Writer(kAnchor).text(anchor.boot).number(anchor.offsetMs).number(anchor.monotonicMs).take());
+    return store::encodeFrame(kMark, store::PayloadWriter(kAnchor)
+                                         .text(anchor.boot)
+                                         .number(anchor.offsetMs)
+                                         .number(anchor.monotonicMs)
+                                         .finish());
 }
 
 std::optional<Anchor> decoded(std::string_view bytes) {
-    const auto payload = store::firstFrame(bytes, kMark, kLongest);
+    const auto payload = store::decodeFirstFrame(bytes, kMark, kLongest);
     if (payload.empty() || payload[0] != kAnchor) return {};
-    store::Reader in(payload.substr(1));
+    store::PayloadReader in(payload.substr(1));
     Anchor anchor;
     anchor.boot = in.text();
     anchor.offsetMs = in.number<std::int64_t>();
     anchor.monotonicMs = in.number<std::int64_t>();
-    if (!in.whole()) return {};
+    if (!in.complete()) return {};
     return anchor;
 }
 
--- a/src/commands/list.cpp
+++ b/src/commands/list.cpp
@@ -29,7 +29,7 @@
 }
 
 /// What can be used of the file; says on `err` what is wrong with it. False where there is nothing.
-bool load(const ListFile& file, kept::Loaded& loaded, std::ostream& err) {
+bool load(const ListFile& file, kept::LoadResult& loaded, std::ostream& err) {
     std::string bytes;
     if (!readFile(file.path, bytes)) {
         err << "laurelhaven: " << file.path
@@ -37,14 +37,14 @@
             << "BALANCER_STATE\n";
         return false;
     }
-    loaded = kept::read(bytes, file.sender, file.now);
-    if (loaded.state != kept::State::good)
+    loaded = kept::parse(bytes, file.sender, file.now);
+    if (loaded.state != kept::FileState::good)
         err << "laurelhaven: " << file.path << ": " << kept::name(loaded.state)
-            << (loaded.what.empty() ? "" : ": " + loaded.what) << '\n';
-    return !loaded.image.entries.empty() || loaded.state == kept::State::good;
+            << (loaded.problem.empty() ? "" : ": " + loaded.problem) << '\n';
+    return !loaded.list.entries.empty() || loaded.state == kept::FileState::good;
 }
 
-membership::Membership merged(kept::Image image, const settings::Settings& settings) {
+membership::Membership merged(kept::SavedEndpointList image, const settings::Settings& settings) {
     membership::Membership list(settings.roster.membership);
     list.restore(image.index, image.epoch, image.churn);
     for (auto& [name, entry] : image.entries) list.restore(std::move(entry));
@@ -63,12 +63,12 @@
 
 int listShow(const ListFile& file, const settings::Settings& settings, bool json, std::ostream& out,
              std::ostream& err) {
-    kept::Loaded loaded;
+    kept::LoadResult loaded;
     if (!load(file, loaded, err)) return 2;
-    const auto standings = loaded.image.standings;
-    const auto written = loaded.image.writtenAt;
-    const auto sender = loaded.image.sender;
-    const auto list = merged(std::move(loaded.image), settings);
+    const auto standings = loaded.list.destinationHealth;
+    const auto written = loaded.list.writtenAt;
+    const auto sender = loaded.list.sender;
+    const auto list = merged(std::move(loaded.list), settings);
     const auto age = trust::milliseconds(std::max<RecordMs>(0, file.now - written));
     if (json) {
         Json::Value root;
@@ -79,15 +79,15 @@
         root["half_life_ms"] = Json::Int64(list.halfLife().count());
         root["endpoints"] = Json::arrayValue;
         for (const auto& entry : list.entries()) {
-            const auto judged = list.judge(*entry, file.now);
-            auto one = listing::form(entry->is);
+            const auto judged = list.assess(*entry, file.now);
+            auto one = listing::form(entry->endpoint);
             one["trust"] = trust::name(judged.level);
             one["figure"] = judged.figure;
             one["age_ms"] = Json::Int64(judged.age.count());
-            one["confirmed_by"] = trust::name(entry->by);
-            one["against"] = trust::name(entry->against);
+            one["confirmed_by"] = trust::name(entry->confirmedBy);
+            one["against"] = trust::name(entry->refutation);
             one["index"] = Json::UInt64(entry->index);
-            one["calls"] = entry->traffic;
+            one["calls"] = entry->deliveries;
             root["endpoints"].append(one);
         }
         root["destinations"] = Json::arrayValue;
@@ -95,9 +95,9 @@
             Json::Value one;
             one["group"] = Json::UInt64(destination);
             one["down"] = s.down;
-            one["cold_since_ms"] = Json::Int64(s.coldSince);
-            one["outage_ms"] = Json::Int64(s.outageAt);
-            one["told_rate"] = s.told;
+            one["cold_since_ms"] = Json::Int64(s.recoveredAt);
+            one["outage_ms"] = Json::Int64(s.lastOutageAt);
+            one["told_rate"] = s.rateLimit;
             root["destinations"].append(one);
         }
         out << text(root) << '\n';
@@ -108,27 +108,28 @@
     out << fmt::format("{:<20} {:<21} {:>6} {:<10} {:>6} {:>12} {:<13} {:<13} {:>8}\n", "endpoint", "address",
                        "group", "trust", "figure", "age", "by", "against", "calls");
     for (const auto& entry : list.entries()) {
-        const auto judged = list.judge(*entry, file.now);
+        const auto judged = list.assess(*entry, file.now);
         out << fmt::format("{:<20} {:<21} {:>6} {:<10} {:>6.3f} {:>12} {:<13} {:<13} {:>8.0f}\n",
-                           entry->is.name, entry->is.address, entry->is.group, trust::name(judged.level),
-                           judged.figure, trust::span(judged.age), trust::name(entry->by),
-                           trust::name(entry->against), entry->traffic);
+                           entry->endpoint.name, entry->endpoint.address, entry->endpoint.group,
+                           trust::name(judged.level), judged.figure, trust::span(judged.age),
+                           trust::name(entry->confirmedBy), trust::name(entry->refutation),
+                           entry->deliveries);
     }
     bool any = false;
     for (const auto& [destination, s] : standings) {
-        if (!s.down && s.coldSince == 0 && s.told == 0) continue;
+        if (!s.down && s.recoveredAt == 0 && s.rateLimit == 0) continue;
         if (!any) out << "\ndestinations that stand out:\n";
         any = true;
         out << fmt::format("  {}:", destination);
         if (s.down)
             out << fmt::format(
                 " down, last seen {} ago;",
-                trust::span(trust::milliseconds(std::max<RecordMs>(0, file.now - s.outageAt))));
-        if (s.coldSince > 0)
+                trust::span(trust::milliseconds(std::max<RecordMs>(0, file.now - s.lastOutageAt))));
+        if (s.recoveredAt > 0)
             out << fmt::format(
                 " back for {};",
-                trust::span(trust::milliseconds(std::max<RecordMs>(0, file.now - s.coldSince))));
-        if (s.told > 0) out << fmt::format(" takes {:.2f}/s from all senders;", s.told);
+                trust::span(trust::milliseconds(std::max<RecordMs>(0, file.now - s.recoveredAt))));
+        if (s.rateLimit > 0) out << fmt::format(" takes {:.2f}/s from all senders;", s.rateLimit);
         out << '\n';
     }
     return 0;
@@ -136,9 +137,9 @@
 
 int listExplain(const ListFile& file, const settings::Settings& settings, const std::string& endpoint,
                 std::ostream& out, std::ostream& err) {
-    kept::Loaded loaded;
+    kept::LoadResult loaded;
     if (!load(file, loaded, err)) return 2;
-    const auto list = merged(std::move(loaded.image), settings);
+    const auto list = merged(std::move(loaded.list), settings);
     const auto* entry = list.find(endpoint);
     if (!entry) {
         err << "laurelhaven: " << file.path << " holds no endpoint '" << endpoint
@@ -146,18 +147,18 @@
                "there\n";
         return 1;
     }
-    const auto judged = list.judge(*entry, file.now);
-    out << endpoint << " of destination " << entry->is.group << " at " << entry->is.address
+    const auto judged = list.assess(*entry, file.now);
+    out << endpoint << " of destination " << entry->endpoint.group << " at " << entry->endpoint.address
         << ", told at index " << entry->index << " (the list is at " << list.index() << ")\n"
         << trust::explain(list.evidence(*entry), judged, settings.roster.membership.trust, list.halfLife())
         << '\n';
     if (judged.until > file.now)
         out << "time alone changes that in " << trust::span(trust::milliseconds(judged.until - file.now))
             << '\n';
-    for (const auto* other : list.of(entry->is.group))
+    for (const auto* other : list.endpointsOf(entry->endpoint.group))
         if (other != entry)
-            out << "its destination also has " << other->is.name << ": "
-                << trust::name(list.judge(*other, file.now).level) << '\n';
+            out << "its destination also has " << other->endpoint.name << ": "
+                << trust::name(list.assess(*other, file.now).level) << '\n';
     return 0;
 }
 
@@ -167,37 +168,38 @@
         err << "laurelhaven: " << file.path << ": can't be read\n";
         return 2;
     }
-    const auto loaded = kept::read(bytes, file.sender, file.now);
-    const bool good = loaded.state == kept::State::good && !loaded.ahead;
+    const auto loaded = kept::parse(bytes, file.sender, file.now);
+    const bool good = loaded.state == kept::FileState::good && !loaded.writtenInFuture;
     if (json) {
         Json::Value root;
         root["file"] = file.path;
         root["state"] = kept::name(loaded.state);
-        root["what"] = loaded.what;
-        root["written_ahead_of_the_clock"] = loaded.ahead;
+        root["what"] = loaded.problem;
+        root["written_ahead_of_the_clock"] = loaded.writtenInFuture;
         root["bytes"] = Json::UInt64(loaded.bytes);
         root["records"] = Json::UInt64(loaded.records);
-        root["endpoints"] = Json::UInt64(loaded.image.entries.size());
+        root["endpoints"] = Json::UInt64(loaded.list.entries.size());
         root["good"] = good;
         out << text(root) << '\n';
         return good ? 0 : 1;
     }
     out << file.path << ": " << kept::name(loaded.state) << ", " << loaded.bytes << " bytes, "
-        << loaded.records << " records, " << loaded.image.entries.size() << " endpoints\n";
-    if (!loaded.what.empty()) out << "  " << loaded.what << "; a start uses the rest\n";
-    if (loaded.ahead) out << "  it was written later than now: the clock was set back\n";
+        << loaded.records << " records, " << loaded.list.entries.size() << " endpoints\n";
+    if (!loaded.problem.empty()) out << "  " << loaded.problem << "; a start uses the rest\n";
+    if (loaded.writtenInFuture) out << "  it was written later than now: the clock was set back\n";
     return good ? 0 : 1;
 }
 
 int listExport(const ListFile& file, std::ostream& out, std::ostream& err) {
-    kept::Loaded loaded;
+    kept::LoadResult loaded;
     if (!load(file, loaded, err)) return 2;
     Json::Value root;
-    root["index"] = Json::UInt64(loaded.image.index);
+    root["index"] = Json::UInt64(loaded.list.index);
     root["snapshot"] = true;
     root["endpoints"] = Json::arrayValue;
-    for (const auto& [name, entry] : loaded.image.entries)
-        if (entry.against == trust::Against::nothing) root["endpoints"].append(listing::form(entry.is));
+    for (const auto& [name, entry] : loaded.list.entries)
+        if (entry.refutation == trust::Against::nothing)
+            root["endpoints"].append(listing::form(entry.endpoint));
     out << text(root) << '\n';
     return 0;
 }
@@ -223,26 +225,28 @@
     membership::Membership list{membership::Policy{}};
     std::string old;
     if (readFile(file.path, old)) {
-        auto image = kept::read(old, file.sender, file.now).image;
+        auto image = kept::parse(old, file.sender, file.now).list;
         list.restore(image.index, image.epoch, image.churn);
         for (auto& [name, entry] : image.entries) list.restore(std::move(entry));
     }
-    list.configured(*listed, file.now);
+    list.applyConfiguration(*listed, file.now);
     std::vector<std::string> records;
-    for (const auto& entry : list.entries()) records.push_back(kept::record(*entry));
+    for (const auto& entry : list.entries()) records.push_back(kept::encode(*entry));
     std::size_t left = 0;
-    kept::File target(std::filesystem::path(file.path).parent_path().string(), budget, file.sender);
+    kept::SavedEndpointListFile target(std::filesystem::path(file.path).parent_path().string(), budget,
+                                       file.sender);
     if (target.path() != file.path) {
         err << "laurelhaven: a kept list is always called "
             << std::filesystem::path(target.path()).filename().string() << '\n';
         return 2;
     }
-    if (!target.replace(records, kept::mark(list.index(), list.epoch(), list.churn(), 0), file.now, left)) {
+    if (!target.replace(records, kept::encodeListState(list.index(), list.epoch(), list.churn(), 0), file.now,
+                        left)) {
         err << "laurelhaven: " << file.path << ": can't be written\n";
         return 2;
     }
     out << file.path << ": " << records.size() - left << " entries at index " << list.index() << ", "
-        << list.tombstones() << " of them gone"
+        << list.tombstoneCount() << " of them gone"
         << (left > 0 ? ", " + std::to_string(left) + " had no room" : "") << '\n';
     return left > 0 ? 1 : 0;
 }
--- a/src/decisions/decisions.cpp
+++ b/src/decisions/decisions.cpp
@@ -65,7 +65,7 @@
 
 /// A line for each that may have run, as its repeats have to keep rules over several lives; the others are
 /// counted, and told at level debug.
-void logFound(const store::Taken& message, const FoundMessage& found) {
+void logFound(const store::StoredMessage& message, const FoundMessage& found) {
     metrics::counter("found_messages_total", "state", name(found.state)).add();
     const bool lost = found.state == FoundState::unknownClass;
     auto line = lost ? log::error() : found.mayHaveRun ? log::info() : log::debug();
@@ -73,8 +73,8 @@
         .kv("id", message.id)
         .kv("state", name(found.state))
         .kv("destination", message.destination)
-        .kv("class", message.grade)
-        .kv("attempts", message.attempts.made())
+        .kv("class", message.messageClass)
+        .kv("attempts", message.attempts.attemptCount())
         .kv("failures", message.attempts.failures())
         .kv("left_ms", found.left.count());
     if (found.mayHaveRun) line.kv("may_have_run_ms_ago", found.sinceRan.count());
@@ -216,11 +216,11 @@
     if (!destinations_.count(message.destination)) return refused("unknown_destination", kUnknownAfter);
     if (held_.size() >= static_cast<std::size_t>(config_.settings.maxHeld))
         return refused("held_full", kFullAfter);
-    store::Taken record;
+    store::StoredMessage record;
     record.id = message.id;
     record.key = message.key;
     record.destination = message.destination;
-    record.grade = config_.classes[message.grade];
+    record.messageClass = config_.classes[message.grade];
     if (message.tenant < config_.tenants.size()) record.tenant = config_.tenants[message.tenant];
     record.effect = static_cast<int>(config_.settings.messageClasses[message.grade].effect);
     record.deadline =
@@ -440,7 +440,8 @@
     turn({{stoathub::MessageWithdrawn{id}}});
 }
 
-std::size_t Decisions::restore(const std::vector<store::Taken>& messages, store::RecordMs healthKnownUntil) {
+std::size_t Decisions::restore(const std::vector<store::StoredMessage>& messages,
+                               store::RecordMs healthKnownUntil) {
     const std::lock_guard lock(mutex_);
     const auto now = Steady::now();
     const auto recordNow = recordClock_.now();
@@ -458,8 +459,9 @@
         // Danger: a configuration with fewer classes; the module takes no message of one that it does not
         // know, and nobody would ever end it.
         if (found.state == FoundState::unknownClass) {
-            conclude(message.id,
-                     {message.id, found.mayHaveRun ? store::End::failed : store::End::returned, 0});
+            conclude(
+                message.id,
+                {message.id, found.mayHaveRun ? store::FinalState::failed : store::FinalState::returned, 0});
             continue;
         }
         // Until the list names it, as for any that it named a moment ago.
@@ -541,7 +543,7 @@
                 recorder_.done(refuse->id);
                 release(refuse->id);
             } else {
-                conclude(refuse->id, {refuse->id, store::End::returned, after.count()});
+                conclude(refuse->id, {refuse->id, store::FinalState::returned, after.count()});
             }
         } else if (const auto* fail = std::get_if<stoathub::Fail>(&action)) {
             if (own && fail->id == *ownId) {
@@ -549,7 +551,7 @@
                 recorder_.done(fail->id);
                 release(fail->id);
             } else {
-                conclude(fail->id, {fail->id, store::End::failed, 0});
+                conclude(fail->id, {fail->id, store::FinalState::failed, 0});
             }
         } else if (const auto* cancel = std::get_if<stoathub::Cancel>(&action)) {
             const auto it = held_.find(cancel->id);
@@ -566,16 +568,16 @@
     if (recorder_.behind()) wake_.notify_one();
 }
 
-void Decisions::conclude(const std::string& id, const store::Owed& notice) {
+void Decisions::conclude(const std::string& id, const store::PendingNotice& notice) {
     const auto it = held_.find(id);
     if (it == held_.end()) return;
     if (it->second.over) return violations_.count(rules::Rule::finalAnswer, id, "a second end");
     const auto late = Steady::now() - it->second.in.deadline;
     if (late > kLateEnd && !it->second.found)
         violations_.count(rules::Rule::lateEnd, id, std::to_string(late / milliseconds(1)) + " ms late");
-    const char* state = notice.end == store::End::failed ? "failed" : "returned";
+    const char* state = notice.finalState == store::FinalState::failed ? "failed" : "returned";
     metrics::counter("ends_total", "state", state).add();
-    (log::debug() << "ended undelivered").kv("id", id).kv("state", state).kv("after_ms", notice.afterMs);
+    (log::debug() << "ended undelivered").kv("id", id).kv("state", state).kv("after_ms", notice.retryAfterMs);
     recorder_.ended(notice);
     if (it->second.out) it->second.over = true;
     else release(id);
--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -90,7 +90,7 @@
 
 /// All are called with the facade's lock held, and must not call back into it.
 struct Hooks {
-    std::function<void(const store::Owed&)> ended;
+    std::function<void(const store::PendingNotice&)> ended;
     std::function<void(const std::string& endpoint)> closeIdle;
     /// A call ended: evidence of what is at the endpoint's address.
     std::function<void(const Call&, const Result&, std::chrono::nanoseconds took)> answered = {};
@@ -127,7 +127,8 @@
     /// What an earlier life left unfinished. Up to `healthKnownUntil` what that life had learnt of its
     /// partners' health was told by report() of standings; only later failures speak of it. The number of
     /// those whose deadline has passed meanwhile: they end at once, uncalled.
-    std::size_t restore(const std::vector<store::Taken>& messages, store::RecordMs healthKnownUntil = 0);
+    std::size_t restore(const std::vector<store::StoredMessage>& messages,
+                        store::RecordMs healthKnownUntil = 0);
 
     /// What a later life ought to know, and which waits are on: of the destinations that stand out.
     std::vector<Standing> standings() const;
@@ -187,7 +188,7 @@
     Held& hold(const HandIn& message);
     void release(const std::string& id);
     void turn(const struct Events& events, Verdict* own = nullptr, const std::string* ownId = nullptr);
-    void conclude(const std::string& id, const store::Owed& notice);
+    void conclude(const std::string& id, const store::PendingNotice& notice);
     bool holds(const Held& held, const Call& call) const;
     rules::Attempt attemptOf(const Call& call) const;
     static void logBegun(const Held& held, const Call& call);
@@ -209,7 +210,7 @@
     Recorder recorder_;
     /// Ends that are not on record yet, as the store is behind, and when they are told all the same.
     struct Untold {
-        store::Owed notice;
+        store::PendingNotice notice;
         Moment tellBy;
     };
     std::deque<Untold> untold_;
--- a/src/decisions/found_messages.cpp
+++ b/src/decisions/found_messages.cpp
@@ -10,16 +10,16 @@
 
 using std::chrono::milliseconds;
 
-FoundState stateOf(const store::Taken& message, int grade, bool mayHaveRun) {
+FoundState stateOf(const store::StoredMessage& message, int grade, bool mayHaveRun) {
     if (grade < 0) return FoundState::unknownClass;
     if (mayHaveRun) return FoundState::mayHaveRun;
-    return message.attempts.made() > 0 ? FoundState::neverRan : FoundState::untried;
+    return message.attempts.attemptCount() > 0 ? FoundState::neverRan : FoundState::untried;
 }
 
-stoathub::PriorAttempts pastOf(const store::Taken& message, const FoundMessage& found,
+stoathub::PriorAttempts pastOf(const store::StoredMessage& message, const FoundMessage& found,
                                store::RecordMs healthKnownUntil) {
     stoathub::PriorAttempts past;
-    past.attempts = static_cast<int>(message.attempts.made());
+    past.attempts = static_cast<int>(message.attempts.attemptCount());
     // Danger: a failure on record may be long ago, and the partner well since; a few of them together would
     // make an outage of nothing, and ease the busiest partners in while the backlog waits.
     const bool unknownYet = message.attempts.lastFailureAt() > healthKnownUntil;
@@ -37,10 +37,10 @@
     return kNames[static_cast<std::size_t>(state)];
 }
 
-FoundMessage interpret(const store::Taken& message, const config::Config& config, store::RecordMs now,
+FoundMessage interpret(const store::StoredMessage& message, const config::Config& config, store::RecordMs now,
                        store::RecordMs healthKnownUntil) {
     FoundMessage found;
-    found.grade = config::position(config.classes, message.grade, -1);
+    found.grade = config::position(config.classes, message.messageClass, -1);
     found.tenant = config::position(config.tenants, message.tenant, 0);
     found.left = milliseconds(message.deadline - now);
     const auto since = message.attempts.mayHaveRunSince();
--- a/src/decisions/found_messages.hpp
+++ b/src/decisions/found_messages.hpp
@@ -31,7 +31,7 @@
 
 /// `now` on the time line of the record. Up to `healthKnownUntil` what was learnt of partners' health is
 /// known from elsewhere; only later failures speak of it.
-FoundMessage interpret(const store::Taken& message, const config::Config& config, store::RecordMs now,
+FoundMessage interpret(const store::StoredMessage& message, const config::Config& config, store::RecordMs now,
                        store::RecordMs healthKnownUntil);
 
 }  // namespace laurelhaven::decisions
--- a/src/decisions/recorder.hpp
+++ b/src/decisions/recorder.hpp
@@ -19,7 +19,7 @@
         : store_(store), clock_(clock), violations_(violations) {}
 
     /// False: it can't be kept now, and is not taken on.
-    bool take(const store::Taken& message);
+    bool take(const store::StoredMessage& message);
     /// Before an attempt's first byte. Nothing: it can't be written, and the attempt must not begin.
     std::optional<store::AttemptNumber> begin(const std::string& id);
     /// The attempt, if there is one, never left.
@@ -29,11 +29,11 @@
                  store::AttemptOutcome outcome);
     /// Nothing more is owed for the message.
     void done(const std::string& id);
-    void ended(const store::Owed& notice);
+    void ended(const store::PendingNotice& notice);
     /// The platform knows its end.
     void noticed(const std::string& id);
 
-    bool behind() const { return store_.behind(); }
+    bool behind() const { return store_.hasUnwrittenRecords(); }
     bool flush() { return store_.flush(); }
 
   private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -101,9 +101,10 @@
     }
 
     // The list and the journal share the folder, both with the copies that replace them.
-    const auto listBytes = own.roster.keep ? kept::share(config.diskBytes, own.roster.diskShare) : 0;
+    const auto listBytes =
+        own.roster.keep ? kept::listBudgetBytes(config.diskBytes, own.roster.diskShare) : 0;
     clock::RecordClock recordClock(config.state);
-    store::Positions positions{config.classes, config.tenants, {}};
+    store::LegacyPositions positions{config.classes, config.tenants, {}};
     for (const auto& g : config.settings.messageClasses)
         positions.effects.push_back(static_cast<int>(g.effect));
     store::Journal store(config.state, config.diskBytes - listBytes, std::move(positions));
@@ -116,7 +117,7 @@
     trace::Capture capture(own.capture, config);
     decisions::Decisions decisions(
         config, store,
-        {[&](const store::Owed& notice) {
+        {[&](const store::PendingNotice& notice) {
              notices.add(notice);
              capture.ended(notice);
          },
@@ -205,7 +206,7 @@
               << config.settings.slots << " slots, " << config.settings.maxHeld << " messages held at most, "
               << config.known.endpoints.size() << " endpoints known at index " << config.known.index << '\n'
               << "kept list " << (own.roster.keep ? "on" : "off") << ", "
-              << kept::share(config.diskBytes, own.roster.diskShare) << " of " << config.diskBytes
+              << kept::listBudgetBytes(config.diskBytes, own.roster.diskShare) << " of " << config.diskBytes
               << " bytes of disk; probes "
               << (!config.mayProbe    ? "not permitted here"
                   : !own.roster.probe ? "off"
@@ -374,7 +375,8 @@
         if (exportWord->parsed()) return commands::listExport(file, std::cout, std::cerr);
         if (import->parsed())
             return commands::listImport(
-                file, from, kept::share(static_cast<std::uint64_t>(diskMb * 1e6), own.roster.diskShare),
+                file, from,
+                kept::listBudgetBytes(static_cast<std::uint64_t>(diskMb * 1e6), own.roster.diskShare),
                 std::cout, std::cerr);
     }
     if (const auto status = traces.run()) return *status;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -19,37 +19,37 @@
 
 // ---- the tables ----
 
-Entry& Membership::at(const listing::Endpoint& told) {
+Entry& Membership::findOrCreate(const listing::Endpoint& told) {
     if (Entry* has = find(told.name)) {
-        if (has->is.group != told.group) {
-            leave(*has);
+        if (has->endpoint.group != told.group) {
+            removeFromDestination(*has);
             byDestination_[told.group].push_back(has);
         }
         return *has;
     }
     auto made = std::make_unique<Entry>();
-    made->is = told;
+    made->endpoint = told;
     Entry& entry = **entries_.insert(std::move(made)).first;
     byDestination_[told.group].push_back(&entry);
-    ++present_;
+    ++presentCount_;
     return entry;
 }
 
 /// Takes it from its destination's endpoints.
-void Membership::leave(const Entry& entry) {
-    const auto it = byDestination_.find(entry.is.group);
+void Membership::removeFromDestination(const Entry& entry) {
+    const auto it = byDestination_.find(entry.endpoint.group);
     std::erase(it->second, &entry);
     if (it->second.empty()) byDestination_.erase(it);
 }
 
-void Membership::drop(const std::string& endpoint) {
+void Membership::remove(const std::string& endpoint) {
     const auto it = entries_.find(endpoint);
     if (it == entries_.end()) return;
     const Entry* entry = it->get();
-    leave(*entry);
-    vacate(*entry);
-    if (entry->tombstone()) --tombstones_;
-    else --present_;
+    removeFromDestination(*entry);
+    releaseAddress(*entry);
+    if (entry->isTombstone()) --tombstoneCount_;
+    else --presentCount_;
     entries_.erase(it);
 }
 
@@ -60,41 +60,41 @@
 Entry* Membership::find(const std::string& endpoint) {
     return const_cast<Entry*>(std::as_const(*this).find(endpoint));
 }
-const std::vector<Entry*>& Membership::of(std::uint64_t destination) const {
+const std::vector<Entry*>& Membership::endpointsOf(std::uint64_t destination) const {
     static const std::vector<Entry*> none;
     const auto it = byDestination_.find(destination);
     return it == byDestination_.end() ? none : it->second;
 }
-std::size_t Membership::tombstones() const { return tombstones_; }
-
-void Membership::against(Entry& entry, Against why, RecordMs now, std::vector<std::string>& touched) {
-    const bool was = entry.tombstone();
-    if (entry.against == Against::nothing) changes_ += 1;
-    entry.against = why;
-    entry.againstAt = now;
-    entry.heldBack = false;
-    entry.answered = entry.named = entry.seenLive = false;
-    if (!was) --present_, ++tombstones_;
-    touched.push_back(entry.is.name);
+std::size_t Membership::tombstoneCount() const { return tombstoneCount_; }
+
+void Membership::refute(Entry& entry, Against why, RecordMs now, std::vector<std::string>& touched) {
+    const bool was = entry.isTombstone();
+    if (entry.refutation == Against::nothing) changesSinceUpdate_ += 1;
+    entry.refutation = why;
+    entry.refutedAt = now;
+    entry.suspended = false;
+    entry.answeredThisRun = entry.listedNow = entry.listedThisRun = false;
+    if (!was) --presentCount_, ++tombstoneCount_;
+    touched.push_back(entry.endpoint.name);
 }
 
 /// Nobody is known at its address any more, if it was the one.
-void Membership::vacate(const Entry& entry) {
-    const auto it = byAddress_.find(hashOf(entry.is.address));
+void Membership::releaseAddress(const Entry& entry) {
+    const auto it = byAddress_.find(hashOf(entry.endpoint.address));
     if (it != byAddress_.end() && it->second == &entry) byAddress_.erase(it);
 }
 
 // Danger: an endpoint goes and a new one takes over its address. Whoever had it before is not there any more,
 // whatever a list says that is older than the one which names the new one.
-void Membership::takeAddress(Entry& entry, RecordMs now, std::vector<std::string>& touched) {
-    if (entry.is.address.empty()) return;
-    auto& has = byAddress_[hashOf(entry.is.address)];
-    if (has && has != &entry && !has->tombstone() && has->is.address == entry.is.address) {
+void Membership::claimAddress(Entry& entry, RecordMs now, std::vector<std::string>& touched) {
+    if (entry.endpoint.address.empty()) return;
+    auto& has = byAddress_[hashOf(entry.endpoint.address)];
+    if (has && has != &entry && !has->isTombstone() && has->endpoint.address == entry.endpoint.address) {
         if (has->index > entry.index) {
-            if (entry.against == Against::nothing) against(entry, Against::addressTaken, now, touched);
+            if (entry.refutation == Against::nothing) refute(entry, Against::addressTaken, now, touched);
             return;
         }
-        if (has->index < entry.index) against(*has, Against::addressTaken, now, touched);
+        if (has->index < entry.index) refute(*has, Against::addressTaken, now, touched);
     }
     has = &entry;
 }
@@ -102,15 +102,15 @@
 // ---- at the start ----
 
 void Membership::restore(Entry entry) {
-    const bool fresh = !entries_.count(entry.is.name);
-    if (!fresh) drop(entry.is.name);
-    Entry& made = at(entry.is);
+    const bool fresh = !entries_.count(entry.endpoint.name);
+    if (!fresh) remove(entry.endpoint.name);
+    Entry& made = findOrCreate(entry.endpoint);
     made = std::move(entry);
-    made.named = made.answered = made.seenLive = false;
-    if (made.tombstone()) --present_, ++tombstones_;
+    made.listedNow = made.answeredThisRun = made.listedThisRun = false;
+    if (made.isTombstone()) --presentCount_, ++tombstoneCount_;
     // A kept list never holds two of one address, but a damaged one may.
     std::vector<std::string> touched;
-    if (!made.tombstone()) takeAddress(made, made.confirmedAt, touched);
+    if (!made.isTombstone()) claimAddress(made, made.confirmedAt, touched);
 }
 
 void Membership::restore(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn) {
@@ -119,7 +119,7 @@
     churn_ = churn;
 }
 
-void Membership::configured(const listing::Listing& list, RecordMs now) {
+void Membership::applyConfiguration(const listing::Listing& list, RecordMs now) {
     const bool empty = entries_.empty();
     const bool newer = empty || list.index > index_;
     std::vector<std::string> touched;
@@ -130,216 +130,217 @@
         if (has && (has->index >= list.index || !newer)) continue;
         // The kept list is younger and does not know it: it was deleted since, and its tombstone forgotten.
         if (!has && !newer) continue;
-        Entry& entry = at(told);
-        const bool was = has && has->tombstone();
-        entry.is = told;
+        Entry& entry = findOrCreate(told);
+        const bool was = has && has->isTombstone();
+        entry.endpoint = told;
         entry.index = list.index;
-        if (entry.firstTold == 0) entry.firstTold = now;
-        entry.by = Source::configuration;
+        if (entry.firstListedAt == 0) entry.firstListedAt = now;
+        entry.confirmedBy = Source::configuration;
         entry.confirmedAt = now;
-        entry.heldBack = false;
+        entry.suspended = false;
         if (told.status == listing::Status::serving) {
-            entry.against = Against::nothing;
-            if (was) ++present_, --tombstones_;
-            takeAddress(entry, now, touched);
+            entry.refutation = Against::nothing;
+            if (was) ++presentCount_, --tombstoneCount_;
+            claimAddress(entry, now, touched);
         } else {
-            against(entry, told.status == listing::Status::draining ? Against::drained : Against::deleted,
-                    now, touched);
+            refute(entry, told.status == listing::Status::draining ? Against::drained : Against::deleted, now,
+                   touched);
         }
     }
     if (!newer) return;
     // It is a whole list, and younger than the kept one: what it leaves out has gone.
     if (!empty)
         for (const auto& entry : entries_)
-            if (!named.count(entry->is.name) && !entry->tombstone())
-                against(*entry, Against::missing, now, touched);
+            if (!named.count(entry->endpoint.name) && !entry->isTombstone())
+                refute(*entry, Against::missing, now, touched);
     index_ = std::max(index_, list.index);
-    changes_ = 0;
+    changesSinceUpdate_ = 0;
 }
 
 // ---- while it runs ----
 
 /// One entry of a list of discovery. True where anything is new.
-bool Membership::tell(const listing::Endpoint& said, std::uint64_t index, RecordMs now, bool lostHistory,
-                      std::vector<std::string>& touched) {
+bool Membership::mergeEndpoint(const listing::Endpoint& said, std::uint64_t index, RecordMs now,
+                               bool lostHistory, std::vector<std::string>& touched) {
     Entry* has = find(said.name);
     auto told = said;
     if (has && told.status == listing::Status::deleted) {  // a deletion need not tell more than the name
-        told = has->is;
+        told = has->endpoint;
         told.status = listing::Status::deleted;
     }
     const bool serving = told.status == listing::Status::serving;
-    if (has && serving && has->tombstone() &&
-        (has->against == Against::drained || has->against == Against::deleted ||
-         has->against == Against::missing)) {
+    if (has && serving && has->isTombstone() &&
+        (has->refutation == Against::drained || has->refutation == Against::deleted ||
+         has->refutation == Against::missing)) {
         // Danger: a discovery that lost its history, or an agent that is behind, lists what has drained since
         // as serving. Only what is younger may raise it: a newer index, a start after that, or a long time.
-        const bool restarted = told.sinceMs > has->againstAt;
-        const bool longAgo = now - has->againstAt > policy_.tombstoneHold.count();
+        const bool restarted = told.sinceMs > has->refutedAt;
+        const bool longAgo = now - has->refutedAt > policy_.tombstoneHold.count();
         if (!(index > has->index && !lostHistory) && !restarted && !longAgo) return false;
     }
     if (!has && !serving && told.status == listing::Status::deleted) return false;
-    Entry& entry = at(told);
+    Entry& entry = findOrCreate(told);
     const bool fresh = !has;
-    const bool same = !fresh && entry.is == told && entry.against == Against::nothing;
-    const bool moved = !fresh && entry.is.address != told.address && serving;
-    if (fresh) entry.firstTold = now;
+    const bool same = !fresh && entry.endpoint == told && entry.refutation == Against::nothing;
+    const bool moved = !fresh && entry.endpoint.address != told.address && serving;
+    if (fresh) entry.firstListedAt = now;
     if (moved) {
-        changes_ += 1;
-        entry.answered = entry.seenLive = false;  // whatever answered did so at another address
-        vacate(entry);
+        changesSinceUpdate_ += 1;
+        entry.answeredThisRun = entry.listedThisRun = false;  // whatever answered did so at another address
+        releaseAddress(entry);
     }
-    entry.is = told;
+    entry.endpoint = told;
     entry.index = index;
     entry.confirmedAt = now;
-    entry.by = Source::discovery;
+    entry.confirmedBy = Source::discovery;
     if (!serving) {
         const auto why = told.status == listing::Status::draining ? Against::drained : Against::deleted;
-        if (entry.against != why) against(entry, why, now, touched);
+        if (entry.refutation != why) refute(entry, why, now, touched);
         return true;
     }
-    if (entry.tombstone()) ++present_, --tombstones_;
-    entry.against = Against::nothing;
-    entry.heldBack = false;
-    const bool wasNamed = entry.named;
-    entry.named = entry.seenLive = true;
-    takeAddress(entry, now, touched);
+    if (entry.isTombstone()) ++presentCount_, --tombstoneCount_;
+    entry.refutation = Against::nothing;
+    entry.suspended = false;
+    const bool wasNamed = entry.listedNow;
+    entry.listedNow = entry.listedThisRun = true;
+    claimAddress(entry, now, touched);
     if (!same || !wasNamed) touched.push_back(told.name);
     return !same;
 }
 
-Heard Membership::heard(const listing::Listing& list, RecordMs now) {
-    Heard result;
-    watched(now);
+ListUpdateResult Membership::applyUpdate(const listing::Listing& list, RecordMs now) {
+    ListUpdateResult result;
+    updateChurn(now);
     const bool lower = list.index < index_;
     if (!list.whole) {
         if (lower) {
-            result.kind = Heard::Kind::askWhole;
+            result.kind = ListUpdateResult::Kind::fullListNeeded;
             return result;
         }
-        if (list.index == index_ && heardOnce_) {
-            result.kind = Heard::Kind::known;
-            alive(now, true);
+        if (list.index == index_ && listReceived_) {
+            result.kind = ListUpdateResult::Kind::unchanged;
+            discoverySeen(now, true);
             return result;
         }
-        for (const auto& told : list.endpoints) tell(told, list.index, now, false, result.touched);
+        for (const auto& told : list.endpoints) mergeEndpoint(told, list.index, now, false, result.touched);
         index_ = list.index;
-        heardOnce_ = true;
-        const bool was = live_;
-        alive(now, true);
+        listReceived_ = true;
+        const bool was = discoveryLive_;
+        discoverySeen(now, true);
         // Changes after a version that is known stand by everything else that is known.
         if (!was)
             for (const auto& entry : entries_)
-                if (entry->named) result.touched.push_back(entry->is.name);
+                if (entry->listedNow) result.touched.push_back(entry->endpoint.name);
         return result;
     }
     if (lower) {
-        result.kind = Heard::Kind::lostHistory;
+        result.kind = ListUpdateResult::Kind::lostHistory;
         ++epoch_;
     }
-    const auto before = present_;
+    const auto before = presentCount_;
     std::set<std::string_view> named;
     std::size_t listed = 0;
     for (const auto& told : list.endpoints) {
         named.insert(told.name);
         listed += told.status == listing::Status::serving;
-        tell(told, list.index, now, lower, result.touched);
+        mergeEndpoint(told, list.index, now, lower, result.touched);
     }
     // Danger: a discovery that starts empty, or with half its list, would at one stroke take all partners
     // away for good. What it does not name gets nothing more, as the rules ask, but stays known for a while:
     // its messages are held, and when it is named again it is as before.
-    const bool suspicious = heardOnce_ && before >= policy_.shrinkLeast &&
+    const bool suspicious = listReceived_ && before >= policy_.shrinkLeast &&
                             static_cast<double>(listed) < policy_.shrinkShare * static_cast<double>(before);
     for (const auto& entry : entries_) {
-        if (named.count(entry->is.name) || entry->tombstone()) continue;
-        if (entry->heldBack && suspicious) continue;
-        against(*entry, Against::missing, now, result.touched);
+        if (named.count(entry->endpoint.name) || entry->isTombstone()) continue;
+        if (entry->suspended && suspicious) continue;
+        refute(*entry, Against::missing, now, result.touched);
         if (!suspicious) continue;
-        entry->heldBack = true;
-        ++present_, --tombstones_;
-        ++result.heldBack;
+        entry->suspended = true;
+        ++presentCount_, --tombstoneCount_;
+        ++result.suspended;
     }
     if (lower)  // the new numbering counts from here
         for (const auto& entry : entries_) entry->index = std::min(entry->index, list.index);
     index_ = list.index;
-    heardOnce_ = true;
-    alive(now, true);
-    prune(now, result.touched);
+    listReceived_ = true;
+    discoverySeen(now, true);
+    pruneTombstones(now, result.touched);
     return result;
 }
 
-void Membership::alive(RecordMs now, bool verified) {
-    if (verified && !live_) {
-        live_ = true;
+void Membership::discoverySeen(RecordMs now, bool verified) {
+    if (verified && !discoveryLive_) {
+        discoveryLive_ = true;
         for (const auto& entry : entries_)
-            if (entry->against == Against::nothing) entry->named = entry->seenLive = true;
+            if (entry->refutation == Against::nothing) entry->listedNow = entry->listedThisRun = true;
     }
-    if (!live_) return;
-    watched(now);
-    aliveAt_ = std::max(aliveAt_, now);
+    if (!discoveryLive_) return;
+    updateChurn(now);
+    discoverySeenAt_ = std::max(discoverySeenAt_, now);
 }
 
-void Membership::lost(RecordMs now) {
-    if (!live_) return;
-    watched(now);
-    live_ = false;
+void Membership::discoveryLost(RecordMs now) {
+    if (!discoveryLive_) return;
+    updateChurn(now);
+    discoveryLive_ = false;
     for (const auto& entry : entries_) {
-        if (entry->named && aliveAt_ > entry->confirmedAt) {
-            entry->confirmedAt = aliveAt_;
-            entry->by = Source::discovery;
+        if (entry->listedNow && discoverySeenAt_ > entry->confirmedAt) {
+            entry->confirmedAt = discoverySeenAt_;
+            entry->confirmedBy = Source::discovery;
         }
-        entry->named = false;
+        entry->listedNow = false;
     }
 }
 
 /// What was watched since the last time teaches how long entries live.
-void Membership::watched(RecordMs now) {
-    if (live_ && watchedAt_ > 0 && now > watchedAt_)
-        churn_.saw(static_cast<double>(present_), milliseconds(now - watchedAt_), changes_);
-    watchedAt_ = now;
-    changes_ = 0;
+void Membership::updateChurn(RecordMs now) {
+    if (discoveryLive_ && churnUpdatedAt_ > 0 && now > churnUpdatedAt_)
+        churn_.saw(static_cast<double>(presentCount_), milliseconds(now - churnUpdatedAt_),
+                   changesSinceUpdate_);
+    churnUpdatedAt_ = now;
+    changesSinceUpdate_ = 0;
 }
 
-void Membership::answered(const std::string& endpoint, Source by, RecordMs now, double calls) {
+void Membership::recordAnswer(const std::string& endpoint, Source by, RecordMs now, double calls) {
     Entry* entry = find(endpoint);
-    if (!entry || entry->tombstone()) return;
-    entry->answered = true;
-    if (by == Source::call) entry->traffic += calls;
+    if (!entry || entry->isTombstone()) return;
+    entry->answeredThisRun = true;
+    if (by == Source::call) entry->deliveries += calls;
     if (now < entry->confirmedAt) return;
     entry->confirmedAt = now;
-    entry->by = by;
+    entry->confirmedBy = by;
 }
 
-bool Membership::contradict(const std::string& endpoint, Against why, RecordMs now) {
+bool Membership::refuteByAnswer(const std::string& endpoint, Against why, RecordMs now) {
     Entry* entry = find(endpoint);
-    if (!entry || entry->tombstone() || (live_ && entry->named)) return false;
+    if (!entry || entry->isTombstone() || (discoveryLive_ && entry->listedNow)) return false;
     std::vector<std::string> touched;
-    against(*entry, why, now, touched);
+    refute(*entry, why, now, touched);
     return true;
 }
 
 std::vector<std::string> Membership::expire(RecordMs now) {
     std::vector<std::string> touched;
     for (const auto& entry : entries_) {
-        if (!entry->heldBack || now - entry->againstAt <= policy_.shrinkHold.count()) continue;
-        entry->heldBack = false;
-        --present_, ++tombstones_;
-        touched.push_back(entry->is.name);
+        if (!entry->suspended || now - entry->refutedAt <= policy_.shrinkHold.count()) continue;
+        entry->suspended = false;
+        --presentCount_, ++tombstoneCount_;
+        touched.push_back(entry->endpoint.name);
     }
-    prune(now, touched);
+    pruneTombstones(now, touched);
     return touched;
 }
 
-void Membership::prune(RecordMs now, std::vector<std::string>& touched) {
+void Membership::pruneTombstones(RecordMs now, std::vector<std::string>& touched) {
     std::vector<std::pair<RecordMs, std::string>> graves;
     for (const auto& entry : entries_)
-        if (entry->tombstone()) graves.emplace_back(entry->againstAt, entry->is.name);
+        if (entry->isTombstone()) graves.emplace_back(entry->refutedAt, entry->endpoint.name);
     std::sort(graves.begin(), graves.end());
     std::size_t left = graves.size();
     for (const auto& [at, name] : graves) {
         if (left <= policy_.tombstones && now - at <= policy_.tombstoneAge.count()) break;
         touched.push_back(name);
-        drop(name);
+        remove(name);
         --left;
     }
 }
@@ -348,17 +349,17 @@
 
 trust::Evidence Membership::evidence(const Entry& entry) const {
     trust::Evidence e;
-    e.live = live_ && entry.named;
-    e.confirmedAt = e.live ? std::max(aliveAt_, entry.confirmedAt) : entry.confirmedAt;
-    e.by = e.live ? Source::discovery : entry.by;
-    e.against = entry.against;
-    e.offered = entry.answered;
-    e.thisLife = entry.seenLive;
-    e.rate = entry.is.weight;
+    e.live = discoveryLive_ && entry.listedNow;
+    e.confirmedAt = e.live ? std::max(discoverySeenAt_, entry.confirmedAt) : entry.confirmedAt;
+    e.by = e.live ? Source::discovery : entry.confirmedBy;
+    e.against = entry.refutation;
+    e.offered = entry.answeredThisRun;
+    e.thisLife = entry.listedThisRun;
+    e.rate = entry.endpoint.weight;
     return e;
 }
 
-trust::Judgement Membership::judge(const Entry& entry, RecordMs now) const {
+trust::Judgement Membership::assess(const Entry& entry, RecordMs now) const {
     return trust::judge(evidence(entry), policy_.trust, halfLife(), now);
 }
 
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -36,43 +36,43 @@
 
 /// One endpoint, and all that is known of how far it may be believed.
 struct Entry {
-    listing::Endpoint is;     ///< as it was told last
-    std::uint64_t index = 0;  ///< of the list that told it, in discovery's numbering
-    RecordMs firstTold = 0;
+    listing::Endpoint endpoint;  ///< as it was told last
+    std::uint64_t index = 0;     ///< of the list that told it, in discovery's numbering
+    RecordMs firstListedAt = 0;
     RecordMs confirmedAt = 0;  ///< but see Membership::evidence() while discovery is heard
-    RecordMs againstAt = 0;    ///< since when something speaks against it
-    double traffic = 0;        ///< calls it delivered, as far as remembered
-    trust::Source by = trust::Source::configuration;
-    trust::Against against = trust::Against::nothing;
-    bool named = false;     ///< discovery named it, or stood by it, on the stream that is heard now
-    bool answered = false;  ///< it delivered or answered a probe in this life
-    bool seenLive = false;  ///< discovery named it in this life
-    bool heldBack = false;  ///< missing from a suspiciously small list
-    trust::Level shown = trust::Level::refuted;  ///< as judged last; see Membership::judgeAll()
+    RecordMs refutedAt = 0;    ///< since when something speaks against it
+    double deliveries = 0;     ///< calls it delivered, as far as remembered
+    trust::Source confirmedBy = trust::Source::configuration;
+    trust::Against refutation = trust::Against::nothing;
+    bool listedNow = false;        ///< discovery named it, or stood by it, on the stream that is heard now
+    bool answeredThisRun = false;  ///< it delivered or answered a probe in this life
+    bool listedThisRun = false;    ///< discovery named it in this life
+    bool suspended = false;        ///< missing from a suspiciously small list
+    trust::Level trustLevel = trust::Level::refuted;  ///< as judged last; see Membership::judgeAll()
     bool probeFirst = false;
-    bool tombstone() const { return against != trust::Against::nothing && !heldBack; }
+    bool isTombstone() const { return refutation != trust::Against::nothing && !suspended; }
 };
 
 /// Orders entries by name, and finds them by it: the name is held once.
-struct ByName {
+struct OrderByName {
     using is_transparent = void;
     static std::string_view key(std::string_view name) { return name; }
-    static std::string_view key(const std::unique_ptr<Entry>& entry) { return entry->is.name; }
+    static std::string_view key(const std::unique_ptr<Entry>& entry) { return entry->endpoint.name; }
     bool operator()(const auto& a, const auto& b) const { return key(a) < key(b); }
 };
-using Entries = std::set<std::unique_ptr<Entry>, ByName>;
+using Entries = std::set<std::unique_ptr<Entry>, OrderByName>;
 
 /// What became of a list that discovery sent.
-struct Heard {
+struct ListUpdateResult {
     enum class Kind {
-        taken,       ///< merged
-        known,       ///< nothing new in it
-        askWhole,    ///< its numbering does not fit what is known: only the whole list makes it good
-        lostHistory  ///< a whole list of lower index: discovery has lost its history; merged
+        merged,          ///< merged
+        unchanged,       ///< nothing new in it
+        fullListNeeded,  ///< its numbering does not fit what is known: only the whole list makes it good
+        lostHistory      ///< a whole list of lower index: discovery has lost its history; merged
     };
-    Kind kind = Kind::taken;
+    Kind kind = Kind::merged;
     std::vector<std::string> touched;  ///< endpoints whose entries changed
-    std::size_t heldBack = 0;          ///< entries that a suspiciously small list left out
+    std::size_t suspended = 0;         ///< entries that a suspiciously small list left out
 };
 
 class Membership {
@@ -85,48 +85,48 @@
     void restore(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn);
     /// The list of the configuration. A newer index than the kept one's replaces it; an older one adds only
     /// what no kept list could have known to be gone.
-    void configured(const listing::Listing& list, RecordMs now);
+    void applyConfiguration(const listing::Listing& list, RecordMs now);
 
     // -- while it runs --
-    Heard heard(const listing::Listing& list, RecordMs now);
+    ListUpdateResult applyUpdate(const listing::Listing& list, RecordMs now);
     /// Discovery is heard, and has nothing new. `verified`: its numbering is known to be ours.
-    void alive(RecordMs now, bool verified);
+    void discoverySeen(RecordMs now, bool verified);
     /// The stream ended: from now on entries age.
-    void lost(RecordMs now);
+    void discoveryLost(RecordMs now);
     /// A call was delivered, or a probe answered, there.
-    void answered(const std::string& endpoint, trust::Source by, RecordMs now, double calls = 1);
+    void recordAnswer(const std::string& endpoint, trust::Source by, RecordMs now, double calls = 1);
     /// What answered at the address is not the endpoint. Passed over while discovery stands by it.
-    bool contradict(const std::string& endpoint, trust::Against against, RecordMs now);
+    bool refuteByAnswer(const std::string& endpoint, trust::Against refutation, RecordMs now);
     /// Ends what is only held for a time. Returns the endpoints touched.
     std::vector<std::string> expire(RecordMs now);
 
     // -- looking --
     trust::Evidence evidence(const Entry& entry) const;
-    trust::Judgement judge(const Entry& entry, RecordMs now) const;
+    trust::Judgement assess(const Entry& entry, RecordMs now) const;
     milliseconds halfLife() const { return churn_.halfLife(policy_.trust); }
     const Entry* find(const std::string& endpoint) const;
     Entry* find(const std::string& endpoint);
     /// The endpoints of a destination, in no order.
-    const std::vector<Entry*>& of(std::uint64_t destination) const;
+    const std::vector<Entry*>& endpointsOf(std::uint64_t destination) const;
     const Entries& entries() const { return entries_; }
-    std::size_t tombstones() const;
+    std::size_t tombstoneCount() const;
     std::uint64_t index() const { return index_; }
     std::uint64_t epoch() const { return epoch_; }
     const trust::Churn& churn() const { return churn_; }
-    bool live() const { return live_; }
-    RecordMs aliveAt() const { return aliveAt_; }
+    bool discoveryLive() const { return discoveryLive_; }
+    RecordMs discoverySeenAt() const { return discoverySeenAt_; }
 
   private:
-    Entry& at(const listing::Endpoint& told);
-    void drop(const std::string& endpoint);
-    bool tell(const listing::Endpoint& said, std::uint64_t index, RecordMs now, bool lostHistory,
-              std::vector<std::string>& touched);
-    void against(Entry& entry, trust::Against why, RecordMs now, std::vector<std::string>& touched);
-    void takeAddress(Entry& entry, RecordMs now, std::vector<std::string>& touched);
-    void leave(const Entry& entry);
-    void vacate(const Entry& entry);
-    void prune(RecordMs now, std::vector<std::string>& touched);
-    void watched(RecordMs now);
+    Entry& findOrCreate(const listing::Endpoint& told);
+    void remove(const std::string& endpoint);
+    bool mergeEndpoint(const listing::Endpoint& said, std::uint64_t index, RecordMs now, bool lostHistory,
+                       std::vector<std::string>& touched);
+    void refute(Entry& entry, trust::Against why, RecordMs now, std::vector<std::string>& touched);
+    void claimAddress(Entry& entry, RecordMs now, std::vector<std::string>& touched);
+    void removeFromDestination(const Entry& entry);
+    void releaseAddress(const Entry& entry);
+    void pruneTombstones(RecordMs now, std::vector<std::string>& touched);
+    void updateChurn(RecordMs now);
 
     Policy policy_;
     Entries entries_;
@@ -136,11 +136,11 @@
     std::unordered_map<std::size_t, Entry*> byAddress_;
     trust::Churn churn_;
     std::uint64_t index_ = 0, epoch_ = 0;
-    bool live_ = false;       // discovery is heard, in our numbering
-    bool heardOnce_ = false;  // a list of discovery was merged in this life
-    RecordMs aliveAt_ = 0, watchedAt_ = 0;
-    double changes_ = 0;  // since watchedAt_
-    std::size_t present_ = 0, tombstones_ = 0;
+    bool discoveryLive_ = false;  // discovery is heard, in our numbering
+    bool listReceived_ = false;   // a list of discovery was merged in this life
+    RecordMs discoverySeenAt_ = 0, churnUpdatedAt_ = 0;
+    double changesSinceUpdate_ = 0;  // since churnUpdatedAt_
+    std::size_t presentCount_ = 0, tombstoneCount_ = 0;
 };
 
 }  // namespace laurelhaven::membership
--- a/src/notices/notices.cpp
+++ b/src/notices/notices.cpp
@@ -23,11 +23,11 @@
 }  // namespace
 
 // The id was checked at the front: it holds nothing that JSON would have to escape.
-std::string line(const store::Owed& notice) {
+std::string line(const store::PendingNotice& notice) {
     std::string text = "{\"id\":\"" + notice.id + "\",\"state\":\"";
-    text += notice.end == store::End::failed ? "failed\"" : "returned\"";
-    if (notice.end == store::End::returned && notice.afterMs > 0)
-        text += ",\"after_ms\":" + std::to_string(notice.afterMs);
+    text += notice.finalState == store::FinalState::failed ? "failed\"" : "returned\"";
+    if (notice.finalState == store::FinalState::returned && notice.retryAfterMs > 0)
+        text += ",\"after_ms\":" + std::to_string(notice.retryAfterMs);
     return text + "}\n";
 }
 
@@ -40,7 +40,7 @@
     thread_.join();
 }
 
-void Notices::add(const store::Owed& notice) {
+void Notices::add(const store::PendingNotice& notice) {
     const std::lock_guard lock(mutex_);
     queue_.push_back(notice);
     wake_.notify_one();
--- a/src/notices/notices.hpp
+++ b/src/notices/notices.hpp
@@ -17,7 +17,7 @@
 namespace laurelhaven::notices {
 
 /// One line of the body.
-std::string line(const store::Owed& notice);
+std::string line(const store::PendingNotice& notice);
 
 class Notices {
   public:
@@ -27,7 +27,7 @@
     ~Notices() { stop(); }
     void start();
     void stop();
-    void add(const store::Owed& notice);
+    void add(const store::PendingNotice& notice);
     std::size_t owed() const;
 
   private:
@@ -45,7 +45,7 @@
     std::function<void(const std::vector<std::string>&)> heard_;
     mutable std::mutex mutex_;
     std::condition_variable_any wake_;
-    std::deque<store::Owed> queue_;
+    std::deque<store::PendingNotice> queue_;
     bool oneByOne_ = false;
     net::Fd fd_;      // used by the thread alone, as the next
     std::string at_;  // the address that it leads to
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Kind = membership::Heard::Kind;
+using Kind = membership::ListUpdateResult::Kind;
 
 constexpr milliseconds kConnect{1000};
 constexpr int kDeepest = 16;            // brackets in brackets: a list has four
@@ -287,7 +287,7 @@
     };
     const auto news = [&](const listing::Listing& list) {
         logNews(list);
-        if (roster_.heard(list).kind == Kind::askWhole) askWhole(true);
+        if (roster_.heard(list).kind == Kind::fullListNeeded) askWhole(true);
         else verified = true;
     };
     bool beaten = false;
--- a/src/registry/registry.hpp
+++ b/src/registry/registry.hpp
@@ -96,7 +96,8 @@
     /// One connection, until it ends.
     Watch follow(const discovery::Place& place, std::stop_token stopped);
     /// Asks for the whole list, on a connection of its own. What became of it; nothing where none came.
-    std::optional<membership::Heard::Kind> fetch(const discovery::Place& place, std::stop_token stopped);
+    std::optional<membership::ListUpdateResult::Kind> fetch(const discovery::Place& place,
+                                                            std::stop_token stopped);
 
     const discovery::Discovery& discovery_;
     roster::Roster& roster_;
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -24,19 +24,19 @@
 
 /// The entry as the facade is told of it.
 listing::Endpoint offered(const membership::Entry& entry) {
-    auto told = entry.is;
-    if (entry.tombstone())
+    auto told = entry.endpoint;
+    if (entry.isTombstone())
         told.status =
-            entry.against == Against::drained ? listing::Status::draining : listing::Status::deleted;
-    else if (entry.heldBack || entry.probeFirst) told.status = listing::Status::draining;
-    else if (entry.shown == Level::refuted) told.status = listing::Status::deleted;
+            entry.refutation == Against::drained ? listing::Status::draining : listing::Status::deleted;
+    else if (entry.suspended || entry.probeFirst) told.status = listing::Status::draining;
+    else if (entry.trustLevel == Level::refuted) told.status = listing::Status::deleted;
     else told.status = listing::Status::serving;
     return told;
 }
 
 bool usable(const membership::Entry& entry) {
-    return entry.against == Against::nothing && !entry.probeFirst &&
-           (entry.shown == Level::confirmed || entry.shown == Level::ageing);
+    return entry.refutation == Against::nothing && !entry.probeFirst &&
+           (entry.trustLevel == Level::confirmed || entry.trustLevel == Level::ageing);
 }
 
 }  // namespace
@@ -50,46 +50,46 @@
       list_(options.membership),
       probes_(options.probes, config.seed ^ 0x9e3779b97f4a7c15) {
     if (options_.keep)
-        file_ = std::make_unique<kept::File>(config.state, kept::share(config.diskBytes, options.diskShare),
-                                             config.name);
+        file_ = std::make_unique<kept::SavedEndpointListFile>(
+            config.state, kept::listBudgetBytes(config.diskBytes, options.diskShare), config.name);
 }
 
 // ---- the start ----
 
 void Roster::readKept(RecordMs now) {
     auto loaded = file_->load(now);
-    if (loaded.state == kept::State::absent) return;
-    if (loaded.state != kept::State::good)
-        log::warning() << "kept list: " << kept::name(loaded.state) << ": " << loaded.what << "; "
-                       << loaded.image.entries.size() << " entries of it are used";
-    if (loaded.ahead)
+    if (loaded.state == kept::FileState::absent) return;
+    if (loaded.state != kept::FileState::good)
+        log::warning() << "kept list: " << kept::name(loaded.state) << ": " << loaded.problem << "; "
+                       << loaded.list.entries.size() << " entries of it are used";
+    if (loaded.writtenInFuture)
         log::warning()
             << "kept list: written later than now by the clock, which was set back; its ages count "
                "as those of a configured list";
-    auto& image = loaded.image;
+    auto& image = loaded.list;
     if (image.entries.empty()) return;
     list_.restore(image.index, image.epoch, image.churn);
     for (auto& [name, entry] : image.entries) {
-        entry.traffic *= kTrafficFade;
+        entry.deliveries *= kTrafficFade;
         list_.restore(std::move(entry));
     }
     const milliseconds absence(std::max<RecordMs>(0, now - image.writtenAt));
-    longAbsence_ = loaded.ahead || absence > options_.membership.trust.confirmedFor;
+    longAbsence_ = loaded.writtenInFuture || absence > options_.membership.trust.confirmedFor;
     (log::info() << "kept list: read")
         .kv("entries", image.entries.size())
         .kv("index", image.index)
         .kv("age", trust::span(absence));
     // A list in use is written so often at least, and at once where an outage begins.
-    if (!loaded.ahead)
+    if (!loaded.writtenInFuture)
         healthKnownUntil_ = image.writtenAt + (options_.confirmEvery + options_.writeEvery).count();
     std::vector<decisions::Standing> told;
     const auto warmUp = std::chrono::ceil<milliseconds>(config_.settings.warmUp);
-    for (const auto& [destination, s] : image.standings) {
+    for (const auto& [destination, s] : image.destinationHealth) {
         standings_[destination] = s;
-        decisions::Standing standing{destination, false, {}, s.told, false, false};
-        standing.down = s.down && now - s.outageAt <= options_.outageMemory.count();
-        const milliseconds cold(std::max<RecordMs>(0, now - s.coldSince));
-        if (s.coldSince > 0 && cold < warmUp) standing.sinceCold = cold;
+        decisions::Standing standing{destination, false, {}, s.rateLimit, false, false};
+        standing.down = s.down && now - s.lastOutageAt <= options_.outageMemory.count();
+        const milliseconds cold(std::max<RecordMs>(0, now - s.recoveredAt));
+        if (s.recoveredAt > 0 && cold < warmUp) standing.sinceCold = cold;
         if (standing.down || standing.sinceCold || standing.told > 0) told.push_back(standing);
     }
     decisions_.report(told);
@@ -100,12 +100,12 @@
     const auto now = recordClock_.now();
     if (file_) readKept(now);
     const auto before = list_.entries().size();
-    list_.configured(config_.known, now);
+    list_.applyConfiguration(config_.known, now);
     std::vector<listing::Endpoint> news;
     std::unordered_set<std::uint64_t> destinations;
     for (const auto& entry : list_.entries()) {
         judge(*entry, now, news);
-        destinations.insert(entry->is.group);
+        destinations.insert(entry->endpoint.group);
     }
     news.clear();
     for (const auto& entry : list_.entries())
@@ -119,7 +119,7 @@
         (log::info() << "list at the start")
             .kv("entries", list_.entries().size())
             .kv("stale", stale_.size())
-            .kv("gone", list_.tombstones())
+            .kv("gone", list_.tombstoneCount())
             .kv("half_life", trust::span(list_.halfLife()));
 }
 
@@ -144,15 +144,15 @@
 // ---- judging and offering ----
 
 void Roster::judge(membership::Entry& entry, RecordMs now, std::vector<listing::Endpoint>& news) {
-    const auto judged = list_.judge(entry, now);
+    const auto judged = list_.assess(entry, now);
     const auto before = offered(entry).status;
-    entry.shown = judged.level;
+    entry.trustLevel = judged.level;
     entry.probeFirst = judged.probeFirst;
     if (judged.until > 0)
         judgeAt_ =
             std::min(judgeAt_, Steady::now() + std::max(kLeastJudge, milliseconds(judged.until - now)));
-    if (judged.probeFirst && entry.against == Against::nothing) stale_.insert(entry.is.name);
-    else stale_.erase(entry.is.name);
+    if (judged.probeFirst && entry.refutation == Against::nothing) stale_.insert(entry.endpoint.name);
+    else stale_.erase(entry.endpoint.name);
     if (offered(entry).status != before) news.push_back(offered(entry));
 }
 
@@ -163,16 +163,17 @@
                          std::vector<decisions::Standing>& told) {
     for (const auto destination : destinations) {
         bool any = false, vouched = false;
-        for (const auto* entry : list_.of(destination)) {
+        for (const auto* entry : list_.endpointsOf(destination)) {
             any = any || usable(*entry);
             // A probe says that somebody is there, and nothing of how much it can take.
-            vouched = vouched || (usable(*entry) && entry->shown == Level::confirmed &&
-                                  (list_.live() || entry->by != Source::probe));
+            vouched = vouched || (usable(*entry) && entry->trustLevel == Level::confirmed &&
+                                  (list_.discoveryLive() || entry->confirmedBy != Source::probe));
         }
         const bool doubt = any && (!vouched || (longAbsence_ && !begun_));
         if (doubt && doubted_.insert(destination).second) {
             told.push_back({destination, false, {}, 0, true, false});
-        } else if (any && list_.live() && vouched && !longAbsence_ && doubted_.erase(destination) > 0) {
+        } else if (any && list_.discoveryLive() && vouched && !longAbsence_ &&
+                   doubted_.erase(destination) > 0) {
             told.push_back({destination, false, {}, 0, false, false});
         }
     }
@@ -197,9 +198,9 @@
     std::vector<listing::Endpoint> news;
     std::unordered_set<std::uint64_t> destinations;
     for (const auto& entry : list_.entries()) {
-        const auto was = entry->shown;
+        const auto was = entry->trustLevel;
         judge(*entry, now, news);
-        if (entry->shown != was) destinations.insert(entry->is.group);
+        if (entry->trustLevel != was) destinations.insert(entry->endpoint.group);
     }
     tell(destinations, std::move(news));
 }
@@ -219,37 +220,38 @@
         }
         judge(*entry, now, news);
         if (news.empty() || news.back().name != name) news.push_back(offered(*entry));
-        destinations.insert(entry->is.group);
+        destinations.insert(entry->endpoint.group);
     }
     tell(destinations, std::move(news));
 }
 
 // ---- from the watch ----
 
-membership::Heard Roster::heard(const listing::Listing& list) {
+membership::ListUpdateResult Roster::heard(const listing::Listing& list) {
     const std::lock_guard lock(work_);
     return merge(list);
 }
 
-membership::Heard Roster::fetched(const listing::Listing& list, std::uint64_t asked) {
+membership::ListUpdateResult Roster::fetched(const listing::Listing& list, std::uint64_t asked) {
     const std::lock_guard lock(work_);
-    if (list.index < list_.index() && list_.index() != asked) return {membership::Heard::Kind::known, {}, 0};
+    if (list.index < list_.index() && list_.index() != asked)
+        return {membership::ListUpdateResult::Kind::unchanged, {}, 0};
     return merge(list);
 }
 
-membership::Heard Roster::merge(const listing::Listing& list) {
+membership::ListUpdateResult Roster::merge(const listing::Listing& list) {
     const auto now = recordClock_.now();
-    auto result = list_.heard(list, now);
-    using Kind = membership::Heard::Kind;
+    auto result = list_.applyUpdate(list, now);
+    using Kind = membership::ListUpdateResult::Kind;
     if (result.kind == Kind::lostHistory)
         log::warning() << "registry: the list's index fell to " << list.index
                        << ": discovery has lost its history; its whole list is taken";
-    if (result.heldBack > 0)
+    if (result.suspended > 0)
         log::warning() << "registry: the whole list names " << list.endpoints.size()
-                       << " endpoints and leaves out " << result.heldBack
+                       << " endpoints and leaves out " << result.suspended
                        << "; these get no message, and are remembered for "
                        << trust::span(options_.membership.shrinkHold);
-    if (result.heldBack > 0) judgeAt_ = std::min(judgeAt_, Steady::now() + options_.membership.shrinkHold);
+    if (result.suspended > 0) judgeAt_ = std::min(judgeAt_, Steady::now() + options_.membership.shrinkHold);
     judgeSome(result.touched, now);
     // Danger: a process that is killed right now and comes back without discovery knows only what is on disk,
     // and would call what has just been told to drain. Whatever ends an endpoint is written at once.
@@ -263,20 +265,20 @@
 
 void Roster::verified() {
     const std::lock_guard lock(work_);
-    const bool was = list_.live();
-    list_.alive(recordClock_.now(), true);
+    const bool was = list_.discoveryLive();
+    list_.discoverySeen(recordClock_.now(), true);
     if (!was) judgeAll(recordClock_.now());
 }
 
 void Roster::beat() {
     const std::lock_guard lock(work_);
-    list_.alive(recordClock_.now(), false);
+    list_.discoverySeen(recordClock_.now(), false);
 }
 
 void Roster::lost() {
     const std::lock_guard lock(work_);
-    if (!list_.live()) return;
-    list_.lost(recordClock_.now());
+    if (!list_.discoveryLive()) return;
+    list_.discoveryLost(recordClock_.now());
     markAt_ = {};
     judgeAll(recordClock_.now());
     const std::lock_guard in(inbox_);
@@ -315,13 +317,13 @@
         // Danger: the list may have moved the endpoint since the call went out. What answered at its old
         // address, well or like a stranger, says nothing of the new one.
         const auto* entry = list_.find(endpoint);
-        if (!entry || entry->is.address != one.address) continue;
+        if (!entry || entry->endpoint.address != one.address) continue;
         if (one.delivered > 0) {
-            const bool first = !entry->answered;
-            list_.answered(endpoint, Source::call, now, one.delivered);
-            if (first && !list_.live()) touched.push_back(endpoint);
+            const bool first = !entry->answeredThisRun;
+            list_.recordAnswer(endpoint, Source::call, now, one.delivered);
+            if (first && !list_.discoveryLive()) touched.push_back(endpoint);
         }
-        if (one.foreign && list_.contradict(endpoint, Against::notOurs, now)) {
+        if (one.foreign && list_.refuteByAnswer(endpoint, Against::notOurs, now)) {
             (log::warning() << "list: an endpoint answers like a stranger; only discovery can name it again")
                 .kv("endpoint", endpoint);
             touched.push_back(endpoint);
@@ -335,16 +337,16 @@
 std::vector<trust::Candidate> Roster::candidates() const {
     std::vector<trust::Candidate> all;
     const bool may = options_.probe && config_.mayProbe;
-    if (!may || list_.live()) return all;
+    if (!may || list_.discoveryLive()) return all;
     for (const auto& name : stale_) {
         const auto* entry = list_.find(name);
         if (!entry) continue;
-        const auto demand = decisions_.demand(entry->is.group);
-        const auto& fellows = list_.of(entry->is.group);
+        const auto demand = decisions_.demand(entry->endpoint.group);
+        const auto& fellows = list_.endpointsOf(entry->endpoint.group);
         const bool served =
             std::any_of(fellows.begin(), fellows.end(), [](const auto* x) { return usable(*x); });
-        all.push_back(
-            {name, entry->is.group, entry->is.weight, demand.held, entry->traffic, demand.waitUntil, served});
+        all.push_back({name, entry->endpoint.group, entry->endpoint.weight, demand.held, entry->deliveries,
+                       demand.waitUntil, served});
     }
     return all;
 }
@@ -354,8 +356,8 @@
 bool Roster::mayProbe(const std::string& endpoint, const std::string& at) const {
     const std::lock_guard lock(work_);
     const auto* entry = list_.find(endpoint);
-    return entry && entry->probeFirst && entry->is.address == at &&
-           decisions_.demand(entry->is.group).waitUntil <= Steady::now();
+    return entry && entry->probeFirst && entry->endpoint.address == at &&
+           decisions_.demand(entry->endpoint.group).waitUntil <= Steady::now();
 }
 
 void Roster::probe(const std::string& endpoint) {
@@ -365,8 +367,8 @@
         const std::lock_guard lock(work_);
         const auto* entry = list_.find(endpoint);
         if (!entry || !entry->probeFirst) return;
-        at = entry->is.address;
-        weight = entry->is.weight;
+        at = entry->endpoint.address;
+        weight = entry->endpoint.weight;
     }
     int status = 0;
     bool stranger = false;
@@ -410,7 +412,7 @@
     const std::lock_guard lock(work_);
     const auto* entry = list_.find(endpoint);
     // Moved meanwhile, or gone: what answered at the old address says nothing of it.
-    if (!entry || entry->is.address != at) return;
+    if (!entry || entry->endpoint.address != at) return;
     // Whoever knows no probes tells nothing by that; what the list says has to do.
     const bool good = (status == 200 || status == 404) && !stranger;
     probes_.answered(endpoint, good, Steady::now());
@@ -423,15 +425,15 @@
     // What reached the partner weighs there like a call: it is taken off what calls may go. So it is in doubt
     // before it is offered.
     if (status > 0) {
-        doubted_.insert(entry->is.group);
-        decisions_.report({decisions::Standing{entry->is.group, false, {}, 0, true, true}});
+        doubted_.insert(entry->endpoint.group);
+        decisions_.report({decisions::Standing{entry->endpoint.group, false, {}, 0, true, true}});
     }
     const auto now = recordClock_.now();
     std::vector<std::string> touched{endpoint};
     if (good) {
         ++probesAnswered_;
-        list_.answered(endpoint, Source::probe, now);
-    } else if (!stranger || !list_.contradict(endpoint, Against::otherPartner, now)) {
+        list_.recordAnswer(endpoint, Source::probe, now);
+    } else if (!stranger || !list_.refuteByAnswer(endpoint, Against::otherPartner, now)) {
         return;
     }
     judgeSome(touched, now);
@@ -447,32 +449,33 @@
 }
 
 /// The standings that differ from what is on disk by more than chance.
-std::vector<kept::Standing> Roster::changedStandings(RecordMs now) {
-    std::unordered_map<std::uint64_t, kept::Standing> fresh;
+std::vector<kept::DestinationHealth> Roster::changedStandings(RecordMs now) {
+    std::unordered_map<std::uint64_t, kept::DestinationHealth> fresh;
     for (const auto& s : decisions_.standings()) {
-        kept::Standing one{s.destination, s.down, 0, 0, s.told};
-        if (s.sinceCold) one.coldSince = now - s.sinceCold->count();
+        kept::DestinationHealth one{s.destination, s.down, 0, 0, s.told};
+        if (s.sinceCold) one.recoveredAt = now - s.sinceCold->count();
         const auto it = standings_.find(s.destination);
-        if (it != standings_.end()) one.outageAt = it->second.outageAt;
-        if (s.down) one.outageAt = now;
+        if (it != standings_.end()) one.lastOutageAt = it->second.lastOutageAt;
+        if (s.down) one.lastOutageAt = now;
         if (it != standings_.end()) {
             const auto& old = it->second;
-            if (std::abs(old.coldSince - one.coldSince) < kColdDrift.count()) one.coldSince = old.coldSince;
-            if (old.down && s.down && now - old.outageAt < options_.outageMemory.count() / 4)
-                one.outageAt = old.outageAt;
-            if (std::abs(old.told - one.told) < 0.1 * old.told) one.told = old.told;
+            if (std::abs(old.recoveredAt - one.recoveredAt) < kColdDrift.count())
+                one.recoveredAt = old.recoveredAt;
+            if (old.down && s.down && now - old.lastOutageAt < options_.outageMemory.count() / 4)
+                one.lastOutageAt = old.lastOutageAt;
+            if (std::abs(old.rateLimit - one.rateLimit) < 0.1 * old.rateLimit) one.rateLimit = old.rateLimit;
         }
         fresh[s.destination] = one;
     }
-    std::vector<kept::Standing> changed;
+    std::vector<kept::DestinationHealth> changed;
     for (const auto& [destination, one] : fresh) {
         const auto it = standings_.find(destination);
         if (it == standings_.end() || !(it->second == one)) changed.push_back(one);
     }
     for (const auto& [destination, old] : standings_) {
         if (fresh.count(destination)) continue;
-        kept::Standing over{destination, false, 0, old.outageAt, old.told};
-        if (!list_.of(destination).empty()) fresh[destination] = over;
+        kept::DestinationHealth over{destination, false, 0, old.lastOutageAt, old.rateLimit};
+        if (!list_.endpointsOf(destination).empty()) fresh[destination] = over;
         if (!(over == old)) changed.push_back(over);
     }
     standings_ = std::move(fresh);
@@ -487,19 +490,20 @@
         return;
     }
     std::string records;
-    for (const auto& s : changedStandings(now)) records += kept::record(s);
+    for (const auto& s : changedStandings(now)) records += kept::encode(s);
     for (const auto& name : dirty_) {
         const auto* entry = list_.find(name);
-        records += entry ? kept::record(*entry) : kept::removal(name);
+        records += entry ? kept::encode(*entry) : kept::encodeRemoval(name);
     }
     dirty_.clear();
-    if (list_.live() && Steady::now() >= markAt_) {
-        records += kept::mark(list_.index(), list_.epoch(), list_.churn(), list_.aliveAt());
+    if (list_.discoveryLive() && Steady::now() >= markAt_) {
+        records +=
+            kept::encodeListState(list_.index(), list_.epoch(), list_.churn(), list_.discoverySeenAt());
         markAt_ = Steady::now() + options_.confirmEvery;
     }
     if (records.empty() && !rewrite_) return;
     ++writes_;
-    if (rewrite_ || file_->stale() || !file_->append(records)) writeAnew(now);
+    if (rewrite_ || file_->needsRewrite() || !file_->append(records)) writeAnew(now);
 }
 
 void Roster::writeAnew(RecordMs now) {
@@ -508,15 +512,15 @@
     std::vector<const membership::Entry*> order;
     for (const auto& entry : list_.entries()) order.push_back(entry.get());
     std::sort(order.begin(), order.end(), [](const auto* a, const auto* b) {
-        if (a->tombstone() != b->tombstone()) return b->tombstone();
-        return a->tombstone() ? a->againstAt > b->againstAt : a->traffic > b->traffic;
+        if (a->isTombstone() != b->isTombstone()) return b->isTombstone();
+        return a->isTombstone() ? a->refutedAt > b->refutedAt : a->deliveries > b->deliveries;
     });
     std::vector<std::string> records;
-    for (const auto& [destination, s] : standings_) records.push_back(kept::record(s));
-    for (const auto* entry : order) records.push_back(kept::record(*entry));
+    for (const auto& [destination, s] : standings_) records.push_back(kept::encode(s));
+    for (const auto* entry : order) records.push_back(kept::encode(*entry));
     std::size_t left = 0;
-    const auto last =
-        kept::mark(list_.index(), list_.epoch(), list_.churn(), list_.live() ? list_.aliveAt() : 0);
+    const auto last = kept::encodeListState(list_.index(), list_.epoch(), list_.churn(),
+                                            list_.discoveryLive() ? list_.discoverySeenAt() : 0);
     const bool written = file_->replace(records, last, now, left);
     if (!written) {
         rewrite_ = true;
@@ -544,7 +548,7 @@
                 judgeAll(recordClock_.now());
             }
             const bool mark =
-                file_ && list_.live() && now >= markAt_ && now >= writtenAt_ + options_.writeEvery;
+                file_ && list_.discoveryLive() && now >= markAt_ && now >= writtenAt_ + options_.writeEvery;
             if (file_ && (mark || (writeAt_ != Steady::time_point{} && now >= writeAt_)))
                 write(recordClock_.now());
             if (!stale_.empty()) {
@@ -556,7 +560,7 @@
             }
             next = std::min(next, judgeAt_);
             if (writeAt_ != Steady::time_point{}) next = std::min(next, writeAt_);
-            if (file_ && list_.live())
+            if (file_ && list_.discoveryLive())
                 next = std::min(next, std::max(markAt_, writtenAt_ + options_.writeEvery));
         }
         if (target) {
@@ -588,7 +592,7 @@
     const std::lock_guard lock(work_);
     Counts found;
     for (const auto& entry : list_.entries()) {
-        switch (entry->shown) {
+        switch (entry->trustLevel) {
             case Level::confirmed: ++found.confirmed; break;
             case Level::ageing: ++found.ageing; break;
             case Level::stale: ++found.stale; break;
@@ -598,7 +602,7 @@
     found.probes = probes_.sent();
     found.probesAnswered = probesAnswered_;
     found.writes = writes_;
-    found.live = list_.live();
+    found.live = list_.discoveryLive();
     return found;
 }
 
--- a/src/roster/roster.hpp
+++ b/src/roster/roster.hpp
@@ -57,10 +57,10 @@
     bool flush();
 
     // -- from the watch --
-    membership::Heard heard(const listing::Listing& list);
+    membership::ListUpdateResult heard(const listing::Listing& list);
     /// A whole list that was asked for when the index was `asked`. One that is older than what came meanwhile
     /// is passed over.
-    membership::Heard fetched(const listing::Listing& list, std::uint64_t asked);
+    membership::ListUpdateResult fetched(const listing::Listing& list, std::uint64_t asked);
     /// A line without news came.
     void beat();
     /// The stream was confirmed to count as we do, or ended.
@@ -87,7 +87,7 @@
     };
     using Steady = std::chrono::steady_clock;
 
-    membership::Heard merge(const listing::Listing& list);
+    membership::ListUpdateResult merge(const listing::Listing& list);
     void run();
     void readKept(trust::RecordMs now);
     void judge(membership::Entry& entry, trust::RecordMs now, std::vector<listing::Endpoint>& news);
@@ -103,7 +103,7 @@
     bool mayProbe(const std::string& endpoint, const std::string& at) const;
     void dirty(const std::string& endpoint);
     void write(trust::RecordMs now);
-    std::vector<kept::Standing> changedStandings(trust::RecordMs now);
+    std::vector<kept::DestinationHealth> changedStandings(trust::RecordMs now);
     void writeAnew(trust::RecordMs now);
 
     const config::Config& config_;
@@ -113,11 +113,11 @@
 
     mutable std::mutex work_;  // the list; held while the facade is told, never the other way round
     membership::Membership list_;
-    std::unique_ptr<kept::File> file_;
+    std::unique_ptr<kept::SavedEndpointListFile> file_;
     trust::Probes probes_;
     std::unordered_set<std::string> stale_, dirty_;
     std::unordered_set<std::uint64_t> doubted_;
-    std::unordered_map<std::uint64_t, kept::Standing> standings_;  // as written
+    std::unordered_map<std::uint64_t, kept::DestinationHealth> standings_;  // as written
     trust::RecordMs healthKnownUntil_ = 0;
     bool longAbsence_ = false, begun_ = false, rewrite_ = true;
     Steady::time_point judgeAt_{}, writeAt_{}, markAt_{}, writtenAt_{};
--- a/src/store/frame.cpp
+++ b/src/store/frame.cpp
@@ -25,43 +25,43 @@
 
 }  // namespace
 
-std::string_view firstFrame(std::string_view bytes, std::string_view mark, std::size_t longest) {
-    if (bytes.size() < kFrameHead || bytes.substr(0, mark.size()) != mark) return {};
+std::string_view decodeFirstFrame(std::string_view bytes, std::string_view mark, std::size_t longest) {
+    if (bytes.size() < kFrameHeaderBytes || bytes.substr(0, mark.size()) != mark) return {};
     const std::size_t size = get32(bytes.substr(4));
-    if (size == 0 || size > longest || size > bytes.size() - kFrameHead) return {};
-    const auto payload = bytes.substr(kFrameHead, size);
+    if (size == 0 || size > longest || size > bytes.size() - kFrameHeaderBytes) return {};
+    const auto payload = bytes.substr(kFrameHeaderBytes, size);
     return checksum(payload) == get32(bytes.substr(8)) ? payload : std::string_view{};
 }
 
-std::string framed(std::string_view mark, std::string_view payload) {
+std::string encodeFrame(std::string_view mark, std::string_view payload) {
     std::string text(mark);
     put32(text, static_cast<std::uint32_t>(payload.size()));
     put32(text, checksum(payload));
     return text.append(payload);
 }
 
-Scan scan(std::string_view bytes, std::string_view mark, std::size_t longest,
-          const std::function<void(std::string_view)>& each) {
-    Scan found;
+ScanResult scanFrames(std::string_view bytes, std::string_view mark, std::size_t longest,
+                      const std::function<void(std::string_view)>& each) {
+    ScanResult found;
     std::size_t at = 0;
     while (at < bytes.size()) {
-        const auto payload = firstFrame(bytes.substr(at), mark, longest);
+        const auto payload = decodeFirstFrame(bytes.substr(at), mark, longest);
         if (payload.empty()) {
             // Damage, or the record that was being written when the process died. Go on at the next mark.
             const auto next = bytes.find(mark, at + 1);
             at = next == std::string_view::npos ? bytes.size() : next;
             continue;
         }
-        if (at > found.good) found.damaged += at - found.good;
+        if (at > found.validBytes) found.damagedBytes += at - found.validBytes;
         each(payload);
-        ++found.records;
-        found.good = at += kFrameHead + payload.size();
+        ++found.recordCount;
+        found.validBytes = at += kFrameHeaderBytes + payload.size();
     }
     return found;
 }
 
-ReadText readAll(int fd, std::size_t most) {
-    ReadText all;
+ReadResult readAll(int fd, std::size_t most) {
+    ReadResult all;
     char bytes[8192];
     while (all.text.size() < most) {
         const auto got = read(fd, bytes, std::min(sizeof bytes, most - all.text.size()));
--- a/src/store/frame.hpp
+++ b/src/store/frame.hpp
@@ -12,38 +12,38 @@
 
 namespace laurelhaven::store {
 
-constexpr std::size_t kFrameHead = 12;  ///< bytes in front of a payload
+constexpr std::size_t kFrameHeaderBytes = 12;  ///< bytes in front of a payload
 
 /// Gathers one payload: numbers of eight bytes, little end first, and texts behind their length.
-class Writer {
+class PayloadWriter {
   public:
-    explicit Writer(char type) { text_ += type; }
+    explicit PayloadWriter(char type) { text_ += type; }
     template <class T>
-    Writer& number(T value) {
+    PayloadWriter& number(T value) {
         const auto wide = static_cast<std::uint64_t>(value);
         for (int i = 0; i < 8; ++i) text_ += static_cast<char>(wide >> (8 * i));
         return *this;
     }
-    Writer& real(double value) {
+    PayloadWriter& real(double value) {
         std::uint64_t bits = 0;
         std::memcpy(&bits, &value, sizeof bits);
         return number(bits);
     }
-    Writer& text(std::string_view value) {
+    PayloadWriter& text(std::string_view value) {
         number(value.size());
         text_.append(value);
         return *this;
     }
-    std::string take() { return std::move(text_); }
+    std::string finish() { return std::move(text_); }
 
   private:
     std::string text_;
 };
 
-/// Reads what Writer wrote. A payload that ends early gives zeros, and whole() tells.
-class Reader {
+/// Reads what PayloadWriter wrote. A payload that ends early gives zeros, and complete() tells.
+class PayloadReader {
   public:
-    explicit Reader(std::string_view bytes) : left_(bytes) {}
+    explicit PayloadReader(std::string_view bytes) : left_(bytes) {}
     template <class T>
     T number() {
         std::uint64_t wide = 0;
@@ -65,7 +65,7 @@
         left_.remove_prefix(size);
         return value;
     }
-    bool whole() const { return ok_ && left_.empty(); }
+    bool complete() const { return ok_ && left_.empty(); }
 
   private:
     std::string_view left_;
@@ -73,29 +73,29 @@
 };
 
 /// The payload behind the four bytes of `mark`, its length and its CRC-32.
-std::string framed(std::string_view mark, std::string_view payload);
+std::string encodeFrame(std::string_view mark, std::string_view payload);
 
 /// The payload of a good record at the start of the bytes; empty where there is none.
-std::string_view firstFrame(std::string_view bytes, std::string_view mark, std::size_t longest);
+std::string_view decodeFirstFrame(std::string_view bytes, std::string_view mark, std::size_t longest);
 
 /// What scanning a file's bytes found.
-struct Scan {
-    std::size_t good = 0;     ///< bytes up to the end of the last whole record
-    std::size_t damaged = 0;  ///< bytes passed over before it
-    std::size_t records = 0;
+struct ScanResult {
+    std::size_t validBytes = 0;    ///< bytes up to the end of the last whole record
+    std::size_t damagedBytes = 0;  ///< bytes passed over before it
+    std::size_t recordCount = 0;
 };
 /// Calls `each` with the payload of every whole record, in order. Damage costs only the records it touches:
 /// reading goes on at the next mark. `longest` bounds a payload.
-Scan scan(std::string_view bytes, std::string_view mark, std::size_t longest,
-          const std::function<void(std::string_view)>& each);
+ScanResult scanFrames(std::string_view bytes, std::string_view mark, std::size_t longest,
+                      const std::function<void(std::string_view)>& each);
 
 /// What reading a file came to.
-struct ReadText {
+struct ReadResult {
     std::string text;
     bool complete = true;  ///< false: a read failed, and the file may go on; errno tells
 };
 /// All that can be read from the descriptor, up to `most` bytes.
-ReadText readAll(int fd, std::size_t most = SIZE_MAX);
+ReadResult readAll(int fd, std::size_t most = SIZE_MAX);
 /// False where not all of it could be written; errno tells.
 bool writeAll(int fd, std::string_view bytes);
 
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -17,46 +17,48 @@
 namespace laurelhaven::store {
 namespace {
 
-constexpr std::string_view kMark = "LHR1";
-constexpr std::size_t kHead = kFrameHead;
-constexpr std::size_t kLongest = 80 * 1024;    // no record is longer: a body and its names
-constexpr std::uint64_t kBlock = 512;          // files count in whole blocks
-constexpr std::uint64_t kMargin = 8 * kBlock;  // two files, and what the folder may count besides
+constexpr std::string_view kRecordMagic = "LHR1";
+constexpr std::size_t kHeaderBytes = kFrameHeaderBytes;
+constexpr std::size_t kMaxPayloadBytes = 80 * 1024;  // no record is longer: a body and its names
+constexpr std::uint64_t kBlockBytes = 512;           // files count in whole blocks
+constexpr std::uint64_t kFolderMarginBytes =
+    8 * kBlockBytes;  // two files, and what the folder may count besides
 // Kept back for each live message, so that its attempts and its end always find room.
-constexpr std::uint64_t kReserve = 256;
-constexpr std::uint64_t kStale = 256 * 1024;  // records of what is over, beyond which a fresh file is written
-constexpr std::chrono::milliseconds kCompactPause{200};  // after a compaction that failed
+constexpr std::uint64_t kReservedBytesPerMessage = 256;
+constexpr std::uint64_t kMaxStaleBytes =
+    256 * 1024;  // records of what is over, beyond which a fresh file is written
+constexpr std::chrono::milliseconds kCompactionRetryPause{200};  // after a compaction that failed
 // At a start what is owed must be read: a failing folder is asked again for so long, in such steps.
-constexpr std::chrono::seconds kRetryAtStart{8};
-constexpr std::chrono::milliseconds kRetryPause{20};
-
-enum Type : char {
-    kTake = 'K',
-    kBegin = 'B',
-    kNeverLeft = 'L',
-    kSettled = 'S',
-    kFailed = 'F',
-    kDone = 'D',
-    kEnded = 'E',
-    kNoticed = 'N',
+constexpr std::chrono::seconds kStartupRetryTimeout{8};
+constexpr std::chrono::milliseconds kStartupRetryPause{20};
+
+enum RecordType : char {
+    kAccepted = 'K',
+    kAttemptBegun = 'B',
+    kAttemptNotSent = 'L',
+    kAttemptOutcome = 'S',
+    kUnsentFailure = 'F',
+    kRemoved = 'D',
+    kFinalState = 'E',
+    kNoticeAcknowledged = 'N',
     // Of earlier versions, read only: classes by position, and attempts without numbers.
-    kTakeByPosition = 'T',
-    kTakeWithoutNumbers = 'M',
-    kBeginWithoutNumber = 'A',
-    kNeverLeftWithoutNumber = 'U',
-    kSettledWithoutNumber = 'O'
+    kAcceptedByPosition = 'T',
+    kAcceptedWithoutNumbers = 'M',
+    kAttemptBegunWithoutNumber = 'A',
+    kAttemptNotSentWithoutNumber = 'U',
+    kAttemptOutcomeWithoutNumber = 'O'
 };
 
 /// Repeats a step of the start until it succeeds. Throws std::system_error where it fails for too long: a
 /// sender that does not know what it owes must not serve.
 template <class Step>
 void retryWhileFailing(const std::string& path, Step step) {
-    const auto until = std::chrono::steady_clock::now() + kRetryAtStart;
+    const auto until = std::chrono::steady_clock::now() + kStartupRetryTimeout;
     while (!step()) {
         const int error = errno;
         if (error == ENOENT || error == ENOTDIR || std::chrono::steady_clock::now() >= until)
             throw std::system_error(error, std::generic_category(), "can't open or read " + path);
-        std::this_thread::sleep_for(kRetryPause);
+        std::this_thread::sleep_for(kStartupRetryPause);
     }
 }
 
@@ -67,9 +69,9 @@
 
 }  // namespace
 
-Journal::Journal(const std::string& folder, std::uint64_t diskBytes, Positions positions)
+Journal::Journal(const std::string& folder, std::uint64_t diskBytes, LegacyPositions positions)
     : path_(folder + "/messages.log"),
-      budget_(diskBytes - std::min(diskBytes / 2, kMargin)),
+      budgetBytes_(diskBytes - std::min(diskBytes / 2, kFolderMarginBytes)),
       positions_(std::move(positions)) {
     // A copy that was not finished when the process died: the old file still holds everything.
     unlink((path_ + ".new").c_str());
@@ -89,33 +91,34 @@
     return absent && error == ENOSPC;
 }
 
-Recovered Journal::recover() {
+RecoveredState Journal::recover() {
     std::string text;
     retryWhileFailing(path_, [&] {
         if (!file_) return true;
-        auto read = lseek(file_.get(), 0, SEEK_SET) == 0 ? readAll(file_.get()) : ReadText{{}, false};
+        auto read = lseek(file_.get(), 0, SEEK_SET) == 0 ? readAll(file_.get()) : ReadResult{{}, false};
         text = std::move(read.text);
         return read.complete;
     });
     const char* next = text.data();
-    const auto [good, damaged, records] = scan(text, kMark, kLongest, [&](std::string_view payload) {
-        if (payload.data() - kHead != next) doubt();
-        next = payload.data() + payload.size();
-        apply(payload);
-    });
+    const auto [good, damaged, records] =
+        scanFrames(text, kRecordMagic, kMaxPayloadBytes, [&](std::string_view payload) {
+            if (payload.data() - kHeaderBytes != next) markUncertain();
+            next = payload.data() + payload.size();
+            apply(payload);
+        });
     if (damaged > 0) log::error() << "journal: skipped " << damaged << " damaged bytes";
     if (good < text.size())
         log::warning() << "journal: dropped a torn tail of " << text.size() - good << " bytes";
-    size_ = good;
+    fileBytes_ = good;
     tornTail_ = good < text.size();
-    if (!cutTornTail()) log::error() << "journal: can't cut the torn tail yet: " << std::strerror(errno);
+    if (!truncateTornTail()) log::error() << "journal: can't cut the torn tail yet: " << std::strerror(errno);
     // What the positions mean holds for this configuration: by the next start they must be names.
-    if (firstForm_) compact();
+    if (hasLegacyPositions_) compact();
     // What was open when the earlier life ended has no outcome any more, and may have run.
-    for (auto& live : order_) live.message.attempts.endLife();
-    Recovered found;
-    for (const auto& live : order_) {
-        if (live.over) found.notices.push_back(live.notice);
+    for (auto& live : liveRecords_) live.message.attempts.closeAfterRestart();
+    RecoveredState found;
+    for (const auto& live : liveRecords_) {
+        if (live.ended) found.notices.push_back(live.notice);
         else found.messages.push_back(live.message);
     }
     return found;
@@ -123,68 +126,68 @@
 
 // Danger: what can't be read may have been an attempt. A message that was alive then may have run, nobody
 // knows when; sent again it might take effect twice.
-void Journal::doubt() {
-    for (auto& live : order_) live.message.attempts.doubt();
+void Journal::markUncertain() {
+    for (auto& live : liveRecords_) live.message.attempts.markUncertain();
 }
 
-std::string Journal::record(const Live& live) {
-    if (live.over)
-        return Writer(kEnded)
+std::string Journal::encode(const LiveRecord& live) {
+    if (live.ended)
+        return PayloadWriter(kFinalState)
             .text(live.notice.id)
-            .number(static_cast<int>(live.notice.end))
-            .number(live.notice.afterMs)
-            .take();
-    const Taken& m = live.message;
+            .number(static_cast<int>(live.notice.finalState))
+            .number(live.notice.retryAfterMs)
+            .finish();
+    const StoredMessage& m = live.message;
     const auto& attempts = m.attempts.state();
-    return Writer(kTake)
+    return PayloadWriter(kAccepted)
         .text(m.id)
         .text(m.key)
         .number(m.destination)
-        .text(m.grade)
+        .text(m.messageClass)
         .text(m.tenant)
         .number(m.effect)
         .number(m.deadline)
-        .number(attempts.made)
+        .number(attempts.attemptCount)
         .number(attempts.failures)
-        .number(attempts.last)
-        .number(attempts.open)
+        .number(attempts.lastNumber)
+        .number(attempts.openNumber)
         .number(attempts.sentAt)
         .number(attempts.failedAt)
         .number(attempts.mayHaveRunSince)
         .text(*m.body)
-        .take();
+        .finish();
 }
 
-void Journal::weigh(Live& live) {
+void Journal::updateLiveBytes(LiveRecord& live) {
     liveBytes_ -= live.bytes;
-    live.bytes = kHead + record(live).size() + kReserve;
+    live.bytes = kHeaderBytes + encode(live).size() + kReservedBytesPerMessage;
     liveBytes_ += live.bytes;
 }
 
-void Journal::remember(Live live) {
-    const std::string id = live.over ? live.notice.id : live.message.id;
-    forget(id);
-    order_.push_back(std::move(live));
-    live_[id] = std::prev(order_.end());
-    weigh(order_.back());
+void Journal::insertLive(LiveRecord live) {
+    const std::string id = live.ended ? live.notice.id : live.message.id;
+    eraseLive(id);
+    liveRecords_.push_back(std::move(live));
+    liveById_[id] = std::prev(liveRecords_.end());
+    updateLiveBytes(liveRecords_.back());
 }
 
-void Journal::forget(const std::string& id) {
-    const auto it = live_.find(id);
-    if (it == live_.end()) return;
+void Journal::eraseLive(const std::string& id) {
+    const auto it = liveById_.find(id);
+    if (it == liveById_.end()) return;
     liveBytes_ -= it->second->bytes;
-    order_.erase(it->second);
-    live_.erase(it);
+    liveRecords_.erase(it->second);
+    liveById_.erase(it);
 }
 
 namespace {
 
-AttemptHistory::State readAttempts(Reader& in) {
+AttemptHistory::State readAttempts(PayloadReader& in) {
     AttemptHistory::State attempts;
-    attempts.made = in.number<std::uint32_t>();
+    attempts.attemptCount = in.number<std::uint32_t>();
     attempts.failures = in.number<std::uint32_t>();
-    attempts.last = in.number<AttemptNumber>();
-    attempts.open = in.number<AttemptNumber>();
+    attempts.lastNumber = in.number<AttemptNumber>();
+    attempts.openNumber = in.number<AttemptNumber>();
     attempts.sentAt = in.number<RecordMs>();
     attempts.failedAt = in.number<RecordMs>();
     attempts.mayHaveRunSince = in.number<RecordMs>();
@@ -192,14 +195,14 @@
 }
 
 /// As an earlier version wrote it: whether an attempt is open, and no number of it.
-AttemptHistory::State readAttemptsWithoutNumbers(Reader& in) {
+AttemptHistory::State readAttemptsWithoutNumbers(PayloadReader& in) {
     AttemptHistory::State attempts;
-    attempts.made = attempts.last = in.number<std::uint32_t>();
+    attempts.attemptCount = attempts.lastNumber = in.number<std::uint32_t>();
     attempts.failures = in.number<std::uint32_t>();
     const bool open = in.number<int>() != 0;
     attempts.mayHaveRunSince = in.number<RecordMs>();
     attempts.sentAt = attempts.failedAt = in.number<RecordMs>();
-    if (open) attempts.open = attempts.last;
+    if (open) attempts.openNumber = attempts.lastNumber;
     return attempts;
 }
 
@@ -211,12 +214,14 @@
     AttemptOutcome outcome;
 };
 
-AttemptRecord readAttempt(char type, Reader& in) {
+AttemptRecord readAttempt(char type, PayloadReader& in) {
     AttemptRecord record;
     record.id = in.text();
-    if (type == kBegin || type == kNeverLeft || type == kSettled) record.number = in.number<AttemptNumber>();
-    if (type == kBegin || type == kBeginWithoutNumber || type == kFailed) record.at = in.number<RecordMs>();
-    if (type == kSettled || type == kSettledWithoutNumber) {
+    if (type == kAttemptBegun || type == kAttemptNotSent || type == kAttemptOutcome)
+        record.number = in.number<AttemptNumber>();
+    if (type == kAttemptBegun || type == kAttemptBegunWithoutNumber || type == kUnsentFailure)
+        record.at = in.number<RecordMs>();
+    if (type == kAttemptOutcome || type == kAttemptOutcomeWithoutNumber) {
         record.outcome.mayHaveRun = in.number<int>() != 0;
         record.outcome.failed = in.number<int>() != 0;
     }
@@ -225,24 +230,25 @@
 
 /// Danger: an earlier version wrote the failure of a connect, which had made no attempt, like the outcome of
 /// one that surely did not run. Where an attempt was open then, it may be either; so it may have run.
-void settleWithoutNumber(AttemptHistory& attempts, AttemptOutcome outcome) {
-    if (const auto open = attempts.open()) {
+void recordOutcomeWithoutNumber(AttemptHistory& attempts, AttemptOutcome outcome) {
+    if (const auto open = attempts.openAttempt()) {
         outcome.mayHaveRun = outcome.mayHaveRun || outcome.failed;
-        attempts.settle(*open, outcome);
+        attempts.recordOutcome(*open, outcome);
     } else if (outcome.failed) {
-        attempts.failWithoutAttempt(attempts.state().sentAt);
+        attempts.recordUnsentFailure(attempts.state().sentAt);
     }
 }
 
 void applyTo(AttemptHistory& attempts, char type, const AttemptRecord& record) {
     switch (type) {
-        case kBegin: return attempts.begin(record.number, record.at);
-        case kNeverLeft: return void(attempts.neverLeft(record.number));
-        case kSettled: return void(attempts.settle(record.number, record.outcome));
-        case kFailed: return attempts.failWithoutAttempt(record.at);
-        case kBeginWithoutNumber: return attempts.begin(attempts.next(), record.at);
-        case kNeverLeftWithoutNumber: return void(attempts.neverLeft(attempts.open().value_or(0)));
-        default: return settleWithoutNumber(attempts, record.outcome);
+        case kAttemptBegun: return attempts.begin(record.number, record.at);
+        case kAttemptNotSent: return void(attempts.attemptNotSent(record.number));
+        case kAttemptOutcome: return void(attempts.recordOutcome(record.number, record.outcome));
+        case kUnsentFailure: return attempts.recordUnsentFailure(record.at);
+        case kAttemptBegunWithoutNumber: return attempts.begin(attempts.nextNumber(), record.at);
+        case kAttemptNotSentWithoutNumber:
+            return void(attempts.attemptNotSent(attempts.openAttempt().value_or(0)));
+        default: return recordOutcomeWithoutNumber(attempts, record.outcome);
     }
 }
 
@@ -251,91 +257,91 @@
 /// Brings what is alive up to a record, written just now or read back.
 void Journal::apply(std::string_view payload) {
     const char type = payload[0];
-    Reader in(payload.substr(1));
+    PayloadReader in(payload.substr(1));
     bool known = false;
     switch (type) {
-        case kTake:
-        case kTakeWithoutNumbers:
-        case kTakeByPosition: known = applyTake(type, in); break;
-        case kBegin:
-        case kNeverLeft:
-        case kSettled:
-        case kFailed:
-        case kBeginWithoutNumber:
-        case kNeverLeftWithoutNumber:
-        case kSettledWithoutNumber: known = applyAttempt(type, in); break;
-        case kDone:
-        case kEnded:
-        case kNoticed: known = applyEnd(type, in); break;
+        case kAccepted:
+        case kAcceptedWithoutNumbers:
+        case kAcceptedByPosition: known = applyAccepted(type, in); break;
+        case kAttemptBegun:
+        case kAttemptNotSent:
+        case kAttemptOutcome:
+        case kUnsentFailure:
+        case kAttemptBegunWithoutNumber:
+        case kAttemptNotSentWithoutNumber:
+        case kAttemptOutcomeWithoutNumber: known = applyAttempt(type, in); break;
+        case kRemoved:
+        case kFinalState:
+        case kNoticeAcknowledged: known = applyEnd(type, in); break;
         default: break;
     }
     if (!known) log::error() << "journal: skipped a record of no known form";
 }
 
-bool Journal::applyTake(char type, Reader& in) {
-    Live live;
-    Taken& m = live.message;
+bool Journal::applyAccepted(char type, PayloadReader& in) {
+    LiveRecord live;
+    StoredMessage& m = live.message;
     m.id = in.text();
     m.key = in.text();
     m.destination = in.number<std::uint64_t>();
-    if (type == kTakeByPosition) {
-        const auto grade = in.number<std::uint64_t>();
-        m.grade = at(positions_.grades, grade);
-        m.effect = at(positions_.effects, grade);
+    if (type == kAcceptedByPosition) {
+        const auto messageClass = in.number<std::uint64_t>();
+        m.messageClass = at(positions_.messageClasses, messageClass);
+        m.effect = at(positions_.effects, messageClass);
         m.tenant = at(positions_.tenants, in.number<std::uint64_t>());
-        firstForm_ = true;
+        hasLegacyPositions_ = true;
     } else {
-        m.grade = in.text();
+        m.messageClass = in.text();
         m.tenant = in.text();
         m.effect = in.number<int>();
     }
     m.deadline = in.number<RecordMs>();
-    m.attempts = AttemptHistory(type == kTake ? readAttempts(in) : readAttemptsWithoutNumbers(in));
+    m.attempts = AttemptHistory(type == kAccepted ? readAttempts(in) : readAttemptsWithoutNumbers(in));
     m.body = std::make_shared<const std::string>(in.text());
-    if (in.whole()) remember(std::move(live));
-    return in.whole();
+    if (in.complete()) insertLive(std::move(live));
+    return in.complete();
 }
 
-bool Journal::applyAttempt(char type, Reader& in) {
+bool Journal::applyAttempt(char type, PayloadReader& in) {
     const auto record = readAttempt(type, in);
-    if (!in.whole()) return false;
-    if (Taken* found = message(record.id)) applyTo(found->attempts, type, record);
+    if (!in.complete()) return false;
+    if (StoredMessage* found = findMessage(record.id)) applyTo(found->attempts, type, record);
     return true;
 }
 
-bool Journal::applyEnd(char type, Reader& in) {
-    Live live;
-    live.over = true;
+bool Journal::applyEnd(char type, PayloadReader& in) {
+    LiveRecord live;
+    live.ended = true;
     live.notice.id = in.text();
-    if (type == kEnded) {
-        live.notice.end = in.number<int>() == 0 ? End::failed : End::returned;
-        live.notice.afterMs = in.number<std::int64_t>();
+    if (type == kFinalState) {
+        live.notice.finalState = in.number<int>() == 0 ? FinalState::failed : FinalState::returned;
+        live.notice.retryAfterMs = in.number<std::int64_t>();
     }
-    if (!in.whole()) return false;
-    if (type == kEnded) remember(std::move(live));
-    else forget(live.notice.id);
+    if (!in.complete()) return false;
+    if (type == kFinalState) insertLive(std::move(live));
+    else eraseLive(live.notice.id);
     return true;
 }
 
-Taken* Journal::message(const std::string& id) {
-    const auto it = live_.find(id);
-    return it == live_.end() || it->second->over ? nullptr : &it->second->message;
+StoredMessage* Journal::findMessage(const std::string& id) {
+    const auto it = liveById_.find(id);
+    return it == liveById_.end() || it->second->ended ? nullptr : &it->second->message;
 }
 
-bool Journal::isOpen(const std::string& id, AttemptNumber attempt) {
-    const Taken* found = message(id);
-    return found && found->attempts.open() == attempt;
+bool Journal::isOpenAttempt(const std::string& id, AttemptNumber attempt) {
+    const StoredMessage* found = findMessage(id);
+    return found && found->attempts.openAttempt() == attempt;
 }
 
 /// A record that asks for something: false, and nothing has changed, where it can't be written now.
-bool Journal::append(std::string_view payload) {
+bool Journal::tryAppend(std::string_view payload) {
     if (!writeUnwritten() || !write(payload)) return false;
     apply(payload);
     return true;
 }
 
 /// A record of what has happened: it holds from now on, and is written as soon as that can be done.
-void Journal::tell(std::string payload) {
+void Journal::appendOrQueue(std::string payload) {
     apply(payload);
     unwritten_.push_back(std::move(payload));
     writeUnwritten();
@@ -355,43 +361,43 @@
 
 /// One record at the end of the file.
 bool Journal::write(std::string_view payload) {
-    const std::string bytes = framed(kMark, payload);
+    const std::string bytes = encodeFrame(kRecordMagic, payload);
     const bool waited = !unwritten_.empty();
     if (!makeRoom(bytes.size())) return false;
     if (waited && unwritten_.empty()) return true;  // the fresh file tells it already
     if (!writeAll(file_.get(), bytes)) {
-        noteFailure("write");
+        reportFailure("write");
         tornTail_ = true;
-        cutTornTail();
+        truncateTornTail();
         return false;
     }
-    if (std::exchange(failing_, false)) log::info() << "journal: writes succeed again";
-    size_ += bytes.size();
+    if (std::exchange(writesFail_, false)) log::info() << "journal: writes succeed again";
+    fileBytes_ += bytes.size();
     return true;
 }
 
 /// The file is open, ends with a whole record, and has room for a record of so many bytes.
 bool Journal::makeRoom(std::size_t bytes) {
     if (!file_ && !(openFile() && file_)) {
-        noteFailure("open");
+        reportFailure("open");
         return false;
     }
     // Danger: what is written behind half a record makes all before it look damaged, and so as if it might
     // have run. Either the half goes or a fresh file takes the place of this one.
-    if (!cutTornTail() && !compact()) return false;
+    if (!truncateTornTail() && !compact()) return false;
     // The file, the copy that must still fit beside it, and this record in both.
-    const bool full = size_ + liveBytes_ + 2 * bytes > budget_ && size_ > liveBytes_;
+    const bool full = fileBytes_ + liveBytes_ + 2 * bytes > budgetBytes_ && fileBytes_ > liveBytes_;
     // The folder counts as memory: what is long over is not kept until the disk is full.
-    if (full || size_ > liveBytes_ + kStale) compact();
-    return size_ + bytes <= budget_;
+    if (full || fileBytes_ > liveBytes_ + kMaxStaleBytes) compact();
+    return fileBytes_ + bytes <= budgetBytes_;
 }
 
 /// False while bytes of a failed write still lie behind the last whole record.
-bool Journal::cutTornTail() {
+bool Journal::truncateTornTail() {
     if (!tornTail_ || !file_) return !tornTail_;
     int result = 0;
     do {
-        result = ftruncate(file_.get(), static_cast<off_t>(size_));
+        result = ftruncate(file_.get(), static_cast<off_t>(fileBytes_));
     } while (result != 0 && errno == EINTR);
     if (result != 0) return false;
     tornTail_ = false;
@@ -399,10 +405,10 @@
 }
 
 /// One line when the trouble begins, not one for each record.
-void Journal::noteFailure(const char* what) {
+void Journal::reportFailure(const char* what) {
     static auto& failures = metrics::counter("journal_failures_total");
     failures.add();
-    if (!std::exchange(failing_, true))
+    if (!std::exchange(writesFail_, true))
         log::error() << "journal: can't " << what << ": " << std::strerror(errno);
 }
 
@@ -410,88 +416,94 @@
 /// is not tried again at once: it may be long, and it is asked for with every record.
 bool Journal::compact() {
     const auto now = std::chrono::steady_clock::now();
-    if (now < compactAgainAt_) return false;
+    if (now < nextCompactionAt_) return false;
     const std::string fresh = path_ + ".new";
     net::Fd file(open(fresh.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
     std::uint64_t size = 0;
     bool good = static_cast<bool>(file);
-    for (const auto& live : order_) {
+    for (const auto& live : liveRecords_) {
         if (!good) break;
-        const auto bytes = framed(kMark, record(live));
+        const auto bytes = encodeFrame(kRecordMagic, encode(live));
         good = writeAll(file.get(), bytes);
         size += bytes.size();
     }
     if (!good || rename(fresh.c_str(), path_.c_str()) != 0) {
-        noteFailure("compact");
+        reportFailure("compact");
         unlink(fresh.c_str());
-        compactAgainAt_ = now + kCompactPause;
+        nextCompactionAt_ = now + kCompactionRetryPause;
         return false;
     }
-    log::debug() << "journal: compacted " << size_ << " to " << size << " bytes";
+    log::debug() << "journal: compacted " << fileBytes_ << " to " << size << " bytes";
     file_ = std::move(file);
-    size_ = size;
+    fileBytes_ = size;
     tornTail_ = false;
     unwritten_.clear();
     return true;
 }
 
-bool Journal::take(const Taken& message) {
+bool Journal::accept(const StoredMessage& message) {
     // Danger: an id whose end is still owed, handed in again: the two would share one record, and the word
     // that the platform knows the first one's end would strike out the second.
-    if (live_.count(message.id)) return false;
-    Live live;
+    if (liveById_.count(message.id)) return false;
+    LiveRecord live;
     live.message = message;
-    const auto payload = record(live);
+    const auto payload = encode(live);
     // Twice what is alive must fit, or no compaction could ever be made again.
-    if (payload.size() > kLongest || 2 * (liveBytes_ + kHead + payload.size() + kReserve) > budget_)
+    if (payload.size() > kMaxPayloadBytes ||
+        2 * (liveBytes_ + kHeaderBytes + payload.size() + kReservedBytesPerMessage) > budgetBytes_)
         return false;
-    return append(payload);
+    return tryAppend(payload);
 }
 
 std::optional<AttemptNumber> Journal::beginAttempt(const std::string& id, RecordMs at) {
-    const Taken* found = message(id);
+    const StoredMessage* found = findMessage(id);
     if (!found) return {};
-    const auto number = found->attempts.next();
-    if (!append(Writer(kBegin).text(id).number(number).number(at).take())) return {};
+    const auto number = found->attempts.nextNumber();
+    if (!tryAppend(PayloadWriter(kAttemptBegun).text(id).number(number).number(at).finish())) return {};
     return number;
 }
 
-bool Journal::neverLeft(const std::string& id, AttemptNumber attempt) {
-    if (!isOpen(id, attempt)) return false;
-    tell(Writer(kNeverLeft).text(id).number(attempt).take());
+bool Journal::attemptNotSent(const std::string& id, AttemptNumber attempt) {
+    if (!isOpenAttempt(id, attempt)) return false;
+    appendOrQueue(PayloadWriter(kAttemptNotSent).text(id).number(attempt).finish());
     return true;
 }
 
-bool Journal::settle(const std::string& id, AttemptNumber attempt, AttemptOutcome outcome) {
-    if (!isOpen(id, attempt)) return false;
-    tell(Writer(kSettled).text(id).number(attempt).number(outcome.mayHaveRun).number(outcome.failed).take());
+bool Journal::recordOutcome(const std::string& id, AttemptNumber attempt, AttemptOutcome outcome) {
+    if (!isOpenAttempt(id, attempt)) return false;
+    appendOrQueue(PayloadWriter(kAttemptOutcome)
+                      .text(id)
+                      .number(attempt)
+                      .number(outcome.mayHaveRun)
+                      .number(outcome.failed)
+                      .finish());
     return true;
 }
 
-bool Journal::failWithoutAttempt(const std::string& id, RecordMs at) {
-    if (!message(id)) return false;
-    tell(Writer(kFailed).text(id).number(at).take());
+bool Journal::recordUnsentFailure(const std::string& id, RecordMs at) {
+    if (!findMessage(id)) return false;
+    appendOrQueue(PayloadWriter(kUnsentFailure).text(id).number(at).finish());
     return true;
 }
 
-bool Journal::done(const std::string& id) {
-    if (!message(id)) return false;
-    tell(Writer(kDone).text(id).take());
+bool Journal::remove(const std::string& id) {
+    if (!findMessage(id)) return false;
+    appendOrQueue(PayloadWriter(kRemoved).text(id).finish());
     return true;
 }
 
-bool Journal::ended(const Owed& notice) {
-    if (!message(notice.id)) return false;
-    Live live;
-    live.over = true;
+bool Journal::recordFinalState(const PendingNotice& notice) {
+    if (!findMessage(notice.id)) return false;
+    LiveRecord live;
+    live.ended = true;
     live.notice = notice;
-    tell(record(live));
+    appendOrQueue(encode(live));
     return true;
 }
 
-bool Journal::noticed(const std::string& id) {
-    if (message(id)) return false;  // it has not ended
-    if (live_.count(id)) tell(Writer(kNoticed).text(id).take());
+bool Journal::noticeAcknowledged(const std::string& id) {
+    if (findMessage(id)) return false;  // it has not ended
+    if (liveById_.count(id)) appendOrQueue(PayloadWriter(kNoticeAcknowledged).text(id).finish());
     return true;
 }
 
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -24,74 +24,74 @@
 namespace laurelhaven::store {
 
 /// What records of the first form, which told classes and tenants by their positions, mean by them.
-struct Positions {
-    std::vector<std::string> grades, tenants;
+struct LegacyPositions {
+    std::vector<std::string> messageClasses, tenants;
     std::vector<int> effects;  ///< by class
 };
 
 class Journal : public Store {
   public:
     /// Throws std::system_error where the folder can't be used.
-    Journal(const std::string& folder, std::uint64_t diskBytes, Positions positions = {});
+    Journal(const std::string& folder, std::uint64_t diskBytes, LegacyPositions positions = {});
 
-    Recovered recover() override;
-    bool take(const Taken& message) override;
+    RecoveredState recover() override;
+    bool accept(const StoredMessage& message) override;
     std::optional<AttemptNumber> beginAttempt(const std::string& id, RecordMs at) override;
-    bool neverLeft(const std::string& id, AttemptNumber attempt) override;
-    bool settle(const std::string& id, AttemptNumber attempt, AttemptOutcome outcome) override;
-    bool failWithoutAttempt(const std::string& id, RecordMs at) override;
-    bool done(const std::string& id) override;
-    bool ended(const Owed& notice) override;
-    bool noticed(const std::string& id) override;
-    bool behind() const override { return !unwritten_.empty(); }
+    bool attemptNotSent(const std::string& id, AttemptNumber attempt) override;
+    bool recordOutcome(const std::string& id, AttemptNumber attempt, AttemptOutcome outcome) override;
+    bool recordUnsentFailure(const std::string& id, RecordMs at) override;
+    bool remove(const std::string& id) override;
+    bool recordFinalState(const PendingNotice& notice) override;
+    bool noticeAcknowledged(const std::string& id) override;
+    bool hasUnwrittenRecords() const override { return !unwritten_.empty(); }
     bool flush() override;
 
-    std::uint64_t fileBytes() const { return size_; }
+    std::uint64_t fileBytes() const { return fileBytes_; }
 
   private:
-    struct Live {
-        bool over = false;  // ended, with its notice owed
-        Taken message;
-        Owed notice;
+    struct LiveRecord {
+        bool ended = false;  // ended, with its notice owed
+        StoredMessage message;
+        PendingNotice notice;
         std::uint64_t bytes = 0;  // of its record in a fresh file
     };
-    using Order = std::list<Live>;
+    using LiveRecords = std::list<LiveRecord>;
 
     bool openFile();
-    bool append(std::string_view payload);
-    void tell(std::string payload);
+    bool tryAppend(std::string_view payload);
+    void appendOrQueue(std::string payload);
     bool writeUnwritten();
     bool write(std::string_view payload);
     bool makeRoom(std::size_t bytes);
-    bool cutTornTail();
+    bool truncateTornTail();
     bool compact();
-    void noteFailure(const char* what);
+    void reportFailure(const char* what);
     void apply(std::string_view payload);
-    bool applyTake(char type, Reader& in);
-    bool applyAttempt(char type, Reader& in);
-    bool applyEnd(char type, Reader& in);
+    bool applyAccepted(char type, PayloadReader& in);
+    bool applyAttempt(char type, PayloadReader& in);
+    bool applyEnd(char type, PayloadReader& in);
     /// The message of that id that is not over; null where there is none.
-    Taken* message(const std::string& id);
-    bool isOpen(const std::string& id, AttemptNumber attempt);
-    void remember(Live live);
-    void forget(const std::string& id);
-    void doubt();
-    void weigh(Live& live);
-    static std::string record(const Live& live);
+    StoredMessage* findMessage(const std::string& id);
+    bool isOpenAttempt(const std::string& id, AttemptNumber attempt);
+    void insertLive(LiveRecord live);
+    void eraseLive(const std::string& id);
+    void markUncertain();
+    void updateLiveBytes(LiveRecord& live);
+    static std::string encode(const LiveRecord& live);
 
     std::string path_;
-    std::uint64_t budget_;
-    Positions positions_;
-    bool firstForm_ = false;  // such a record was read
+    std::uint64_t budgetBytes_;
+    LegacyPositions positions_;
+    bool hasLegacyPositions_ = false;  // such a record was read
     net::Fd file_;
-    std::uint64_t size_ = 0;             // of the file, up to the end of its last whole record
+    std::uint64_t fileBytes_ = 0;        // of the file, up to the end of its last whole record
     bool tornTail_ = false;              // bytes of a failed write may lie behind that
     std::deque<std::string> unwritten_;  // payloads of what has happened, applied and not yet in the file
-    std::chrono::steady_clock::time_point compactAgainAt_{};  // after a compaction that failed
-    bool failing_ = false;                                    // the last write failed, and was logged
-    std::uint64_t liveBytes_ = 0;                             // of a fresh file
-    Order order_;
-    std::unordered_map<std::string, Order::iterator> live_;
+    std::chrono::steady_clock::time_point nextCompactionAt_{};  // after a compaction that failed
+    bool writesFail_ = false;                                   // the last write failed, and was logged
+    std::uint64_t liveBytes_ = 0;                               // of a fresh file
+    LiveRecords liveRecords_;
+    std::unordered_map<std::string, LiveRecords::iterator> liveById_;
 };
 
 }  // namespace laurelhaven::store
--- a/src/trace/block.cpp
+++ b/src/trace/block.cpp
@@ -128,7 +128,7 @@
 }
 
 std::string Block::take() {
-    auto done = store::framed(kMark, bytes_);
+    auto done = store::encodeFrame(kMark, bytes_);
     bytes_.clear();
     names_.clear();
     last_ = 0;
@@ -141,7 +141,7 @@
     append(payload, std::min(header.sender.size(), kLongestName));
     payload += header.sender.substr(0, kLongestName);
     append(payload, zigzag(header.begun));
-    return store::framed(kMark, payload);
+    return store::encodeFrame(kMark, payload);
 }
 
 std::optional<Payload> decode(std::string_view payload) {
--- a/src/trace/capture.cpp
+++ b/src/trace/capture.cpp
@@ -96,9 +96,9 @@
     leave(std::move(r));
 }
 
-void Capture::ended(const store::Owed& notice) {
+void Capture::ended(const store::PendingNotice& notice) {
     if (!options_.enabled) return;
-    leave(End{wallNow(), hashed(notice.id), notice.end == store::End::failed});
+    leave(End{wallNow(), hashed(notice.id), notice.finalState == store::FinalState::failed});
 }
 
 void Capture::start() {
--- a/src/trace/capture.hpp
+++ b/src/trace/capture.hpp
@@ -41,7 +41,7 @@
     void arrived(const decisions::HandIn& message, const decisions::Verdict& verdict);
     void answered(const decisions::Call& call, const decisions::Result& result,
                   std::chrono::nanoseconds took);
-    void ended(const store::Owed& notice);
+    void ended(const store::PendingNotice& notice);
 
     struct Counts {
         std::uint64_t written = 0, dropped = 0, bytes = 0, files = 0;
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -51,7 +51,7 @@
 Reader::Reader(const std::string& path) : path_(path), file_(std::fopen(path.c_str(), "rb")) {
     if (!file_) bad(path, std::string("can't be read: ") + std::strerror(errno));
     fill();
-    const auto payload = store::firstFrame(buffer_, kMark, kLongestBlock);
+    const auto payload = store::decodeFirstFrame(buffer_, kMark, kLongestBlock);
     const auto first = decode(payload);
     if (!first || !first->header)
         bad(path, buffer_.substr(0, kMark.size()) == kMark ? "byte 0: its header is damaged"
@@ -60,12 +60,12 @@
     if (header_.version > kVersion)
         bad(path, "has version " + std::to_string(header_.version) + ", and this program reads up to " +
                       std::to_string(kVersion) + ": read it with a newer one");
-    at_ = store::kFrameHead + payload.size();
+    at_ = store::kFrameHeaderBytes + payload.size();
 }
 
 // Keeps a whole block in the buffer, or all that is left of the file.
 void Reader::fill() {
-    if (ended_ || buffer_.size() - at_ >= store::kFrameHead + kLongestBlock) return;
+    if (ended_ || buffer_.size() - at_ >= store::kFrameHeaderBytes + kLongestBlock) return;
     buffer_.erase(0, at_);
     base_ += at_;
     at_ = 0;
@@ -81,10 +81,10 @@
         fill();
         const auto left = std::string_view(buffer_).substr(at_);
         if (left.empty()) return false;
-        const auto payload = store::firstFrame(left, kMark, kLongestBlock);
+        const auto payload = store::decodeFirstFrame(left, kMark, kLongestBlock);
         auto found = payload.empty() ? std::nullopt : decode(payload);
         if (found) {
-            at_ += store::kFrameHead + payload.size();
+            at_ += store::kFrameHeaderBytes + payload.size();
             if (found->header) continue;  // files may be joined end to end
             records_ = std::move(found->records);
             next_ = 0;
--- a/tests/decisions/attempts_over_lives_test.cpp
+++ b/tests/decisions/attempts_over_lives_test.cpp
@@ -53,7 +53,7 @@
         result.ending = ending;
         facade_.report(call, result);
     }
-    const std::vector<store::Taken>& found() const { return found_.messages; }
+    const std::vector<store::StoredMessage>& found() const { return found_.messages; }
 
   private:
     const config::Config config_ =
@@ -61,7 +61,7 @@
                                               check::entry("a", "127.0.0.1:9", 7), check::settings()),
                          {{"BALANCER_STATE", "/tmp"}});
     store::Journal journal_;
-    const store::Recovered found_;
+    const store::RecoveredState found_;
     decisions::Decisions facade_;
     threads::Thread ticker_;
 };
--- a/tests/decisions/hand_in_twice_test.cpp
+++ b/tests/decisions/hand_in_twice_test.cpp
@@ -15,7 +15,7 @@
 
 struct CountingStore : check::NoStore {
     int over = 0;
-    bool done(const std::string&) override { return ++over > 0; }
+    bool remove(const std::string&) override { return ++over > 0; }
 };
 
 class HandInTwice : public testing::Test {
--- a/tests/decisions/recorded_ends_test.cpp
+++ b/tests/decisions/recorded_ends_test.cpp
@@ -17,7 +17,7 @@
 /// A store that can't write for a while.
 struct FailingStore : check::NoStore {
     std::atomic<bool> fails{false};
-    bool behind() const override { return fails; }
+    bool hasUnwrittenRecords() const override { return fails; }
     bool flush() override { return !fails; }
 };
 
@@ -25,7 +25,7 @@
   protected:
     RecordedEnds() {
         log::setLevel(log::Level::off);
-        hooks_.ended = [this](const store::Owed&) { told_ = true; };
+        hooks_.ended = [this](const store::PendingNotice&) { told_ = true; };
         facade_ = std::make_unique<decisions::Decisions>(config_, store_, hooks_);
         facade_->report(config_.known, true);
         ticker_ = threads::Thread("tick", [this] {
--- a/tests/delivery/local_failures_test.cpp
+++ b/tests/delivery/local_failures_test.cpp
@@ -61,7 +61,7 @@
     NoStore store;
     std::atomic<int> ended{0};
     decisions::Hooks hooks;
-    hooks.ended = [&](const store::Owed&) { ++ended; };
+    hooks.ended = [&](const store::PendingNotice&) { ++ended; };
     decisions::Decisions facade(config, store, hooks);
     facade.report(config.known, true);
     failWith = GetParam().error;
@@ -99,7 +99,7 @@
     connectsToFail = 12;
     const auto begun = net::Steady::now();
     notices.start();
-    notices.add({"m", store::End::failed, 0});
+    notices.add({"m", store::FinalState::failed, 0});
     await([&] { return heard.load(); });
     EXPECT_LT(net::Steady::now() - begun, std::chrono::milliseconds(1500));
     notices.stop();
--- a/tests/fuzz/registry_fuzz.cpp
+++ b/tests/fuzz/registry_fuzz.cpp
@@ -24,12 +24,12 @@
     registry::Lines lines(1 << 16);
     membership::Membership list({});
     const auto merge = [&](const listing::Listing& news) {
-        list.heard(news, now += 100);
+        list.applyUpdate(news, now += 100);
         for (const auto& e : news.endpoints) {
             if (e.status == listing::Status::serving) continue;
             const auto* entry = list.find(e.name);
             if (entry && news.endpoints.back().name == e.name &&
-                list.judge(*entry, now).level != trust::Level::refuted)
+                list.assess(*entry, now).level != trust::Level::refuted)
                 __builtin_trap();
         }
     };
@@ -38,16 +38,16 @@
         const auto part = bytes.substr(at, step);
         if (chunked) {
             if (parser.feed(part) == http::Parser::State::bad) break;
-            lines.feed(parser.message().body, merge, [&] { list.alive(now += 100, false); });
+            lines.feed(parser.message().body, merge, [&] { list.discoverySeen(now += 100, false); });
             parser.message().body.clear();
         } else {
-            lines.feed(part, merge, [&] { list.alive(now += 100, false); });
+            lines.feed(part, merge, [&] { list.discoverySeen(now += 100, false); });
         }
     }
     std::size_t graves = 0;
-    for (const auto& entry : list.entries()) graves += entry->tombstone();
-    if (graves != list.tombstones()) __builtin_trap();
-    list.lost(now);
+    for (const auto& entry : list.entries()) graves += entry->isTombstone();
+    if (graves != list.tombstoneCount()) __builtin_trap();
+    list.discoveryLost(now);
     list.expire(now + 86'400'000);
     return 0;
 }
--- a/tests/fuzz/trace_fuzz.cpp
+++ b/tests/fuzz/trace_fuzz.cpp
@@ -10,7 +10,7 @@
     if (!got || got->header || got->records.empty()) return 0;
     trace::Block block;
     for (const auto& record : got->records) block.add(record);
-    const auto again = trace::decode(block.take().substr(store::kFrameHead));
+    const auto again = trace::decode(block.take().substr(store::kFrameHeaderBytes));
     if (!again || again->records != got->records) __builtin_trap();
     return 0;
 }
--- a/tests/kept/kept_test.cpp
+++ b/tests/kept/kept_test.cpp
@@ -24,75 +24,76 @@
 
 membership::Entry entry(int i, trust::Against against = trust::Against::nothing) {
     membership::Entry e;
-    e.is = {"s-" + std::to_string(i),
-            "127.0.0.1:" + std::to_string(1000 + i),
-            "quimper",
-            "big-partners",
-            static_cast<std::uint64_t>(i / 2),
-            listing::Status::serving,
-            2.5,
-            17};
+    e.endpoint = {"s-" + std::to_string(i),
+                  "127.0.0.1:" + std::to_string(1000 + i),
+                  "quimper",
+                  "big-partners",
+                  static_cast<std::uint64_t>(i / 2),
+                  listing::Status::serving,
+                  2.5,
+                  17};
     e.index = 40 + static_cast<std::uint64_t>(i);
-    e.firstTold = kNow - 5000;
+    e.firstListedAt = kNow - 5000;
     e.confirmedAt = kNow - 1000;
-    e.by = trust::Source::call;
-    e.against = against;
-    e.traffic = i;
+    e.confirmedBy = trust::Source::call;
+    e.refutation = against;
+    e.deliveries = i;
     return e;
 }
 
 std::string sample(int n = 6) {
-    std::string text = kept::header("n0", kNow - 9000);
-    for (int i = 0; i < n; ++i) text += kept::record(entry(i));
-    text += kept::record(kept::Standing{7, true, 0, kNow - 100, 4.5});
+    std::string text = kept::encodeHeader("n0", kNow - 9000);
+    for (int i = 0; i < n; ++i) text += kept::encode(entry(i));
+    text += kept::encode(kept::DestinationHealth{7, true, 0, kNow - 100, 4.5});
     trust::Churn churn;
     churn.restore(1000, 3);
-    return text + kept::mark(77, 2, churn, 0);
+    return text + kept::encodeListState(77, 2, churn, 0);
 }
 
 TEST(Kept, WhatIsWrittenComesBack) {
-    const auto loaded = kept::read(sample(), "n0", kNow);
-    ASSERT_EQ(loaded.state, kept::State::good) << loaded.what;
-    EXPECT_EQ(loaded.image.index, 77u);
-    EXPECT_EQ(loaded.image.epoch, 2u);
-    EXPECT_EQ(loaded.image.churn.changes(), 3);
-    ASSERT_EQ(loaded.image.entries.size(), 6u);
-    const auto& e = loaded.image.entries.at("s-3");
-    EXPECT_EQ(e.is, entry(3).is);
+    const auto loaded = kept::parse(sample(), "n0", kNow);
+    ASSERT_EQ(loaded.state, kept::FileState::good) << loaded.problem;
+    EXPECT_EQ(loaded.list.index, 77u);
+    EXPECT_EQ(loaded.list.epoch, 2u);
+    EXPECT_EQ(loaded.list.churn.changes(), 3);
+    ASSERT_EQ(loaded.list.entries.size(), 6u);
+    const auto& e = loaded.list.entries.at("s-3");
+    EXPECT_EQ(e.endpoint, entry(3).endpoint);
     EXPECT_EQ(e.index, 43u);
     EXPECT_EQ(e.confirmedAt, kNow - 1000);
-    EXPECT_EQ(e.by, trust::Source::call);
-    EXPECT_EQ(e.traffic, 3);
-    EXPECT_EQ(loaded.image.standings.at(7), (kept::Standing{7, true, 0, kNow - 100, 4.5}));
+    EXPECT_EQ(e.confirmedBy, trust::Source::call);
+    EXPECT_EQ(e.deliveries, 3);
+    EXPECT_EQ(loaded.list.destinationHealth.at(7), (kept::DestinationHealth{7, true, 0, kNow - 100, 4.5}));
 }
 
 TEST(Kept, LaterRecordsReplaceAndRemove) {
     auto text = sample();
     auto gone = entry(1, trust::Against::drained);
-    text += kept::record(gone) + kept::removal("s-2");
-    const auto loaded = kept::read(text, "n0", kNow);
-    EXPECT_EQ(loaded.image.entries.at("s-1").against, trust::Against::drained);
-    EXPECT_FALSE(loaded.image.entries.count("s-2"));
+    text += kept::encode(gone) + kept::encodeRemoval("s-2");
+    const auto loaded = kept::parse(text, "n0", kNow);
+    EXPECT_EQ(loaded.list.entries.at("s-1").refutation, trust::Against::drained);
+    EXPECT_FALSE(loaded.list.entries.count("s-2"));
 }
 
 TEST(Kept, AMarkConfirmsWhatStoodThenAndNothingThatIsGone) {
-    auto text = sample() + kept::record(entry(1, trust::Against::drained)) + kept::mark(78, 2, {}, kNow - 10);
-    const auto loaded = kept::read(text, "n0", kNow);
-    EXPECT_EQ(loaded.image.entries.at("s-0").confirmedAt, kNow - 10);
-    EXPECT_EQ(loaded.image.entries.at("s-0").by, trust::Source::discovery);
-    EXPECT_EQ(loaded.image.entries.at("s-1").confirmedAt, kNow - 1000);
+    auto text = sample() + kept::encode(entry(1, trust::Against::drained)) +
+                kept::encodeListState(78, 2, {}, kNow - 10);
+    const auto loaded = kept::parse(text, "n0", kNow);
+    EXPECT_EQ(loaded.list.entries.at("s-0").confirmedAt, kNow - 10);
+    EXPECT_EQ(loaded.list.entries.at("s-0").confirmedBy, trust::Source::discovery);
+    EXPECT_EQ(loaded.list.entries.at("s-1").confirmedAt, kNow - 1000);
 }
 
 TEST(Kept, CutAtAnyByteItHoldsAWholePrefix) {
     const auto text = sample();
     std::size_t most = 0;
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-        const auto loaded = kept::read(std::string_view(text).substr(0, cut), "n0", kNow);
-        EXPECT_GE(loaded.image.entries.size(), most) << cut;  // never less for more bytes
-        most = loaded.image.entries.size();
+        const auto loaded = kept::parse(std::string_view(text).substr(0, cut), "n0", kNow);
+        EXPECT_GE(loaded.list.entries.size(), most) << cut;  // never less for more bytes
+        most = loaded.list.entries.size();
         if (cut > 0 && cut < text.size()) {
-            EXPECT_TRUE(loaded.state == kept::State::torn || loaded.state == kept::State::good ||
-                        loaded.state == kept::State::foreign)
+            EXPECT_TRUE(loaded.state == kept::FileState::torn || loaded.state == kept::FileState::good ||
+                        loaded.state == kept::FileState::foreign)
                 << cut << kept::name(loaded.state);
         }
     }
@@ -101,40 +102,42 @@
 
 TEST(Kept, OneDamagedByteCostsAtMostItsOwnRecord) {
     const auto text = sample();
-    const auto head = kept::header("n0", kNow).size();
+    const auto head = kept::encodeHeader("n0", kNow).size();
     for (std::size_t at = head; at < text.size(); ++at) {
         auto bad = text;
         bad[at] = static_cast<char>(bad[at] ^ 0x41);
-        const auto loaded = kept::read(bad, "n0", kNow);
-        EXPECT_GE(loaded.image.entries.size(), 5u) << at;
-        EXPECT_TRUE(loaded.state == kept::State::damaged || loaded.state == kept::State::torn) << at;
+        const auto loaded = kept::parse(bad, "n0", kNow);
+        EXPECT_GE(loaded.list.entries.size(), 5u) << at;
+        EXPECT_TRUE(loaded.state == kept::FileState::damaged || loaded.state == kept::FileState::torn) << at;
     }
 }
 
 TEST(Kept, NamesWhatItIsNot) {
-    EXPECT_EQ(kept::read("", "n0", kNow).state, kept::State::absent);
-    EXPECT_EQ(kept::read("#!/bin/sh\n", "n0", kNow).state, kept::State::foreign);
-    EXPECT_EQ(kept::read(sample(), "n1", kNow).state, kept::State::foreign);
-    EXPECT_EQ(kept::read(sample(), "", kNow).state, kept::State::good);
-    const auto newer = store::framed("LHK1", store::Writer('V').number(9).text("n0").number(kNow).take());
-    const auto loaded = kept::read(newer + sample(), "n0", kNow);
-    EXPECT_EQ(loaded.state, kept::State::newer);
-    EXPECT_TRUE(loaded.image.entries.empty());
-    EXPECT_NE(loaded.what.find("version 9"), std::string::npos);
-    EXPECT_TRUE(kept::read(sample(), "n0", kNow - 86'400'000).ahead);  // the clock was set back
-    EXPECT_FALSE(kept::read(sample(), "n0", kNow).ahead);
+    EXPECT_EQ(kept::parse("", "n0", kNow).state, kept::FileState::absent);
+    EXPECT_EQ(kept::parse("#!/bin/sh\n", "n0", kNow).state, kept::FileState::foreign);
+    EXPECT_EQ(kept::parse(sample(), "n1", kNow).state, kept::FileState::foreign);
+    EXPECT_EQ(kept::parse(sample(), "", kNow).state, kept::FileState::good);
+    const auto newer =
+        store::encodeFrame("LHK1", store::PayloadWriter('V').number(9).text("n0").number(kNow).finish());
+    const auto loaded = kept::parse(newer + sample(), "n0", kNow);
+    EXPECT_EQ(loaded.state, kept::FileState::newer);
+    EXPECT_TRUE(loaded.list.entries.empty());
+    EXPECT_NE(loaded.problem.find("version 9"), std::string::npos);
+    EXPECT_TRUE(kept::parse(sample(), "n0", kNow - 86'400'000).writtenInFuture);  // the clock was set back
+    EXPECT_FALSE(kept::parse(sample(), "n0", kNow).writtenInFuture);
 }
 
 TEST(Kept, RecordsOfNoSenseAreSkippedAndNamed) {
-    for (const auto& odd : {store::Writer('E').text("x").take(), store::Writer('Q').take(),
-                            store::Writer('M').number(1).take(), store::Writer('S').take()}) {
-        const auto loaded = kept::read(sample() + store::framed("LHK1", odd), "n0", kNow);
-        EXPECT_EQ(loaded.state, kept::State::damaged);
-        EXPECT_EQ(loaded.image.entries.size(), 6u);
+    for (const auto& odd :
+         {store::PayloadWriter('E').text("x").finish(), store::PayloadWriter('Q').finish(),
+          store::PayloadWriter('M').number(1).finish(), store::PayloadWriter('S').finish()}) {
+        const auto loaded = kept::parse(sample() + store::encodeFrame("LHK1", odd), "n0", kNow);
+        EXPECT_EQ(loaded.state, kept::FileState::damaged);
+        EXPECT_EQ(loaded.list.entries.size(), 6u);
     }
     auto nowhere = entry(9);
-    nowhere.is.address = "not an address";
-    EXPECT_EQ(kept::read(sample() + kept::record(nowhere), "n0", kNow).image.entries.count("s-9"), 0u);
+    nowhere.endpoint.address = "not an address";
+    EXPECT_EQ(kept::parse(sample() + kept::encode(nowhere), "n0", kNow).list.entries.count("s-9"), 0u);
 }
 
 TEST(Kept, GarbageNeverEndsAStart) {
@@ -143,10 +146,10 @@
     for (int round = 0; round < 3000; ++round) {
         auto bad = check::garbage(chance, text);
         if (round % 3 == 0) bad += text.substr(check::below(chance, text.size()));
-        const auto loaded = kept::read(bad, "n0", kNow);
-        EXPECT_LE(loaded.image.entries.size(), 20u);
-        for (const auto& [name, e] : loaded.image.entries)
-            EXPECT_TRUE(e.against != trust::Against::nothing || net::address(e.is.address));
+        const auto loaded = kept::parse(bad, "n0", kNow);
+        EXPECT_LE(loaded.list.entries.size(), 20u);
+        for (const auto& [name, e] : loaded.list.entries)
+            EXPECT_TRUE(e.refutation != trust::Against::nothing || net::address(e.endpoint.address));
     }
 }
 
@@ -157,7 +160,7 @@
     void SetUp() override { log::setLevel(log::Level::off); }
     std::vector<std::string> records(int n) {
         std::vector<std::string> all;
-        for (int i = 0; i < n; ++i) all.push_back(kept::record(entry(i)));
+        for (int i = 0; i < n; ++i) all.push_back(kept::encode(entry(i)));
         return all;
     }
     std::uint64_t used() {
@@ -169,70 +172,70 @@
 };
 
 TEST_F(OnDisk, AppendsAndComesBack) {
-    kept::File file(folder.path, kBudget, "n0");
-    EXPECT_EQ(file.load(kNow).state, kept::State::absent);
-    EXPECT_FALSE(file.append(kept::record(entry(1))));  // nothing to append to yet
-    ASSERT_TRUE(file.replace(records(3), kept::mark(5, 0, {}, 0), kNow, left));
+    kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
+    EXPECT_EQ(file.load(kNow).state, kept::FileState::absent);
+    EXPECT_FALSE(file.append(kept::encode(entry(1))));  // nothing to append to yet
+    ASSERT_TRUE(file.replace(records(3), kept::encodeListState(5, 0, {}, 0), kNow, left));
     EXPECT_EQ(left, 0u);
-    ASSERT_TRUE(file.append(kept::record(entry(8)) + kept::removal("s-0")));
-    kept::File again(folder.path, kBudget, "n0");
+    ASSERT_TRUE(file.append(kept::encode(entry(8)) + kept::encodeRemoval("s-0")));
+    kept::SavedEndpointListFile again(folder.path, kBudget, "n0");
     const auto loaded = again.load(kNow);
-    EXPECT_EQ(loaded.state, kept::State::good);
-    EXPECT_EQ(loaded.image.entries.size(), 3u);
-    EXPECT_TRUE(loaded.image.entries.count("s-8"));
+    EXPECT_EQ(loaded.state, kept::FileState::good);
+    EXPECT_EQ(loaded.list.entries.size(), 3u);
+    EXPECT_TRUE(loaded.list.entries.count("s-8"));
 }
 
 TEST_F(OnDisk, StaysInsideItsBudgetWithBothCopies) {
-    kept::File file(folder.path, kBudget, "n0");
+    kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
     for (int round = 0; round < 300; ++round) {
-        if (round == 0 || file.stale() || !file.append(kept::record(entry(round)))) {
+        if (round == 0 || file.needsRewrite() || !file.append(kept::encode(entry(round)))) {
             std::ofstream(path + ".new") << std::string(100, 'x');  // as a crash would leave one
-            ASSERT_TRUE(file.replace(records(100), kept::mark(5, 0, {}, 0), kNow, left));
+            ASSERT_TRUE(file.replace(records(100), kept::encodeListState(5, 0, {}, 0), kNow, left));
         }
         ASSERT_LE(2 * file.bytes(), kBudget);
     }
     ASSERT_LE(used(), kBudget);
     // What has no room is left out, the first ones are in.
-    ASSERT_TRUE(file.replace(records(2000), kept::mark(5, 0, {}, 0), kNow, left));
+    ASSERT_TRUE(file.replace(records(2000), kept::encodeListState(5, 0, {}, 0), kNow, left));
     EXPECT_GT(left, 1000u);
     const auto loaded = file.load(kNow);
-    EXPECT_EQ(loaded.state, kept::State::good);
-    EXPECT_EQ(loaded.image.entries.size() + left, 2000u);
-    EXPECT_TRUE(loaded.image.entries.count("s-0"));
-    EXPECT_EQ(loaded.image.index, 5u);
+    EXPECT_EQ(loaded.state, kept::FileState::good);
+    EXPECT_EQ(loaded.list.entries.size() + left, 2000u);
+    EXPECT_TRUE(loaded.list.entries.count("s-0"));
+    EXPECT_EQ(loaded.list.index, 5u);
 }
 
 TEST_F(OnDisk, OversizedFilesCostOnlyWhatIsTooMuch) {
     std::ofstream(path) << sample(2000);
-    kept::File file(folder.path, kBudget, "n0");
+    kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
     const auto loaded = file.load(kNow);
-    EXPECT_EQ(loaded.state, kept::State::oversized);
-    EXPECT_GT(loaded.image.entries.size(), 100u);
-    EXPECT_LT(loaded.image.entries.size(), 500u);
+    EXPECT_EQ(loaded.state, kept::FileState::oversized);
+    EXPECT_GT(loaded.list.entries.size(), 100u);
+    EXPECT_LT(loaded.list.entries.size(), 500u);
 }
 
 // A full disk: the limit on file size stands for it. Nothing is lost that was there, and the next try works.
 TEST_F(OnDisk, ADiskThatIsFullLeavesTheOldFile) {
-    kept::File file(folder.path, kBudget, "n0");
-    ASSERT_TRUE(file.replace(records(50), kept::mark(5, 0, {}, 0), kNow, left));
+    kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
+    ASSERT_TRUE(file.replace(records(50), kept::encodeListState(5, 0, {}, 0), kNow, left));
     const auto child = fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
         signal(SIGXFSZ, SIG_IGN);
         const rlimit small{file.bytes() + 20, file.bytes() + 20};
         setrlimit(RLIMIT_FSIZE, &small);
-        const bool appended = file.append(kept::record(entry(60)));
-        const bool replaced = file.replace(records(90), kept::mark(6, 0, {}, 0), kNow, left);
+        const bool appended = file.append(kept::encode(entry(60)));
+        const bool replaced = file.replace(records(90), kept::encodeListState(6, 0, {}, 0), kNow, left);
         _exit(appended || replaced ? 1 : 0);
     }
     int status = 0;
     waitpid(child, &status, 0);
     EXPECT_EQ(status, 0);
     const auto loaded = file.load(kNow);
-    EXPECT_EQ(loaded.state, kept::State::good);
-    EXPECT_EQ(loaded.image.entries.size(), 50u);
+    EXPECT_EQ(loaded.state, kept::FileState::good);
+    EXPECT_EQ(loaded.list.entries.size(), 50u);
     EXPECT_FALSE(std::filesystem::exists(path + ".new"));
-    EXPECT_TRUE(file.replace(records(90), kept::mark(6, 0, {}, 0), kNow, left));
+    EXPECT_TRUE(file.replace(records(90), kept::encodeListState(6, 0, {}, 0), kNow, left));
 }
 
 // SIGKILL at any moment of many writes: what a later life reads is good, but for a last record half written.
@@ -242,23 +245,23 @@
         const auto child = fork();
         ASSERT_GE(child, 0);
         if (child == 0) {
-            kept::File file(folder.path, kBudget, "n0");
+            kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
             std::size_t out = 0;
-            file.replace(records(40), kept::mark(5, 0, {}, 0), kNow, out);
+            file.replace(records(40), kept::encodeListState(5, 0, {}, 0), kNow, out);
             for (int i = 0;; ++i)
-                if (file.stale() || !file.append(kept::record(entry(i % 40))))
-                    file.replace(records(40), kept::mark(5, 0, {}, 0), kNow, out);
+                if (file.needsRewrite() || !file.append(kept::encode(entry(i % 40))))
+                    file.replace(records(40), kept::encodeListState(5, 0, {}, 0), kNow, out);
         }
         // The child writes thousands of times in this; where the kill falls is chance, the verdict is not.
         usleep(static_cast<useconds_t>(5000 + check::below(chance, 15000)));
         kill(child, SIGKILL);
         waitpid(child, nullptr, 0);
-        kept::File file(folder.path, kBudget, "n0");
+        kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
         const auto loaded = file.load(kNow);
-        if (loaded.state == kept::State::absent) continue;  // killed before the first file had its name
-        EXPECT_TRUE(loaded.state == kept::State::good || loaded.state == kept::State::torn)
-            << kept::name(loaded.state) << " " << loaded.what;
-        EXPECT_EQ(loaded.image.entries.size(), 40u);
+        if (loaded.state == kept::FileState::absent) continue;  // killed before the first file had its name
+        EXPECT_TRUE(loaded.state == kept::FileState::good || loaded.state == kept::FileState::torn)
+            << kept::name(loaded.state) << " " << loaded.problem;
+        EXPECT_EQ(loaded.list.entries.size(), 40u);
         EXPECT_FALSE(std::filesystem::exists(path + ".new"));
     }
 }
--- a/tests/laurelhaven/decisions_test.cpp
+++ b/tests/laurelhaven/decisions_test.cpp
@@ -24,27 +24,27 @@
     std::set<std::string> live, owed;
     int attempts = 0, outcomes = 0, unsents = 0;
     bool room = true;
-    store::Recovered recover() override { return {}; }
-    bool take(const store::Taken& m) override { return room && live.insert(m.id).second; }
+    store::RecoveredState recover() override { return {}; }
+    bool accept(const store::StoredMessage& m) override { return room && live.insert(m.id).second; }
     std::optional<store::AttemptNumber> beginAttempt(const std::string&, store::RecordMs) override {
         ++attempts;
         if (!room) return {};
         return static_cast<store::AttemptNumber>(attempts);
     }
-    bool neverLeft(const std::string&, store::AttemptNumber) override { return ++unsents > 0; }
-    bool settle(const std::string&, store::AttemptNumber, store::AttemptOutcome) override {
+    bool attemptNotSent(const std::string&, store::AttemptNumber) override { return ++unsents > 0; }
+    bool recordOutcome(const std::string&, store::AttemptNumber, store::AttemptOutcome) override {
         return ++outcomes > 0;
     }
-    bool failWithoutAttempt(const std::string&, store::RecordMs) override { return ++outcomes > 0; }
-    bool done(const std::string& id) override {
+    bool recordUnsentFailure(const std::string&, store::RecordMs) override { return ++outcomes > 0; }
+    bool remove(const std::string& id) override {
         CHECK(live.erase(id) == 1);
         return true;
     }
-    bool ended(const store::Owed& notice) override {
+    bool recordFinalState(const store::PendingNotice& notice) override {
         CHECK(live.erase(notice.id) == 1);
         return owed.insert(notice.id).second;
     }
-    bool noticed(const std::string& id) override { return owed.erase(id) == 1; }
+    bool noticeAcknowledged(const std::string& id) override { return owed.erase(id) == 1; }
 };
 
 constexpr int kMaxOpen = 6;
@@ -55,7 +55,7 @@
               check::configuration("127.0.0.1:0", "127.0.0.1:1", entries, check::settings(4, kMaxOpen)),
               {{"BALANCER_STATE", "/tmp"}})),
           facade(config, memory,
-                 {[this](const store::Owed& notice) { ends.push_back(notice); },
+                 {[this](const store::PendingNotice& notice) { ends.push_back(notice); },
                   [this](const std::string& endpoint) { closed.push_back(endpoint); }}) {
         facade.report(config.known, true);
     }
@@ -80,7 +80,7 @@
 
     Memory memory;
     config::Config config;
-    std::vector<store::Owed> ends;
+    std::vector<store::PendingNotice> ends;
     std::vector<std::string> closed;
     decisions::Decisions facade;
 };
@@ -206,7 +206,8 @@
     rig.list(check::entry("b", "127.0.0.1:9", 8, "DELETED"));
     CHECK(rig.hand("nowhere", milliseconds(60), 8).kind == Kind::taken);  // no endpoint is listed just now
     rig.tickUntil([&] { return !rig.ends.empty(); });
-    CHECK(rig.ends.size() == 1 && rig.ends[0].id == "nowhere" && rig.ends[0].end == store::End::returned);
+    CHECK(rig.ends.size() == 1 && rig.ends[0].id == "nowhere" &&
+          rig.ends[0].finalState == store::FinalState::returned);
     CHECK(rig.memory.owed.count("nowhere") && rig.facade.held() == 0);
     rig.facade.report(std::vector<std::string>{"nowhere"});
     CHECK(rig.memory.owed.empty());
@@ -218,29 +219,29 @@
     CHECK(rig.ends.size() == 2 && rig.ends[1].id == "hung" && rig.facade.held() == 0);
 }
 
-store::Taken left(const std::string& id, store::RecordMs within, std::uint32_t attempts,
-                  store::RecordMs ranAgo) {
+store::StoredMessage left(const std::string& id, store::RecordMs within, std::uint32_t attempts,
+                          store::RecordMs ranAgo) {
     const auto now =
         std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
-    store::Taken m;
+    store::StoredMessage m;
     m.id = id;
     m.destination = 7;
-    m.grade = "notice";
+    m.messageClass = "notice";
     m.effect = 1;
     m.key = "k";
     m.deadline = now.count() + within;
     const auto sentAt = ranAgo > 0 ? now.count() - ranAgo : 0;
     m.attempts = store::AttemptHistory(
-        {.made = attempts, .last = attempts, .sentAt = sentAt, .mayHaveRunSince = sentAt});
+        {.attemptCount = attempts, .lastNumber = attempts, .sentAt = sentAt, .mayHaveRunSince = sentAt});
     m.body = std::make_shared<const std::string>("body");
     return m;
 }
 
 void restartKeepsWhatIsOwed() {
     Rig rig;
-    const std::vector<store::Taken> all{left("late", -5, 0, 0), left("spent", 9000, 8, 100),
-                                        left("window", 9000, 1, 15001), left("fresh", 9000, 0, 0),
-                                        left("again", 9000, 2, 5000)};
+    const std::vector<store::StoredMessage> all{left("late", -5, 0, 0), left("spent", 9000, 8, 100),
+                                                left("window", 9000, 1, 15001), left("fresh", 9000, 0, 0),
+                                                left("again", 9000, 2, 5000)};
     for (const auto& m : all) rig.memory.live.insert(m.id);
     CHECK(rig.facade.restore(all) == 1);  // told apart: its deadline passed while nothing ran
     // Time, attempts or key window used up: their ends come at once, not at the deadline.
@@ -260,7 +261,7 @@
 void failuresThatWereKnownDoNotCountTwice() {
     const auto down = [](store::RecordMs knownFor) {
         Rig rig;
-        std::vector<store::Taken> all;
+        std::vector<store::StoredMessage> all;
         for (int i = 0; i < 3; ++i) {
             all.push_back(left("m" + std::to_string(i), 9000, 1, 5000));
             auto attempts = all.back().attempts.state();
@@ -295,12 +296,12 @@
     Rig rig;
     auto ran = left("ran", 9000, 1, 5000), fresh = left("fresh", 9000, 0, 0),
          known = left("known", 9000, 0, 0);
-    ran.grade = fresh.grade = "gone";
+    ran.messageClass = fresh.messageClass = "gone";
     for (const auto* m : {&ran, &fresh, &known}) rig.memory.live.insert(m->id);
     rig.facade.restore({ran, fresh, known});
     CHECK(rig.ends.size() == 2 && rig.facade.held() == 1);
-    CHECK(rig.ends[0].id == "ran" && rig.ends[0].end == store::End::failed);
-    CHECK(rig.ends[1].id == "fresh" && rig.ends[1].end == store::End::returned);
+    CHECK(rig.ends[0].id == "ran" && rig.ends[0].finalState == store::FinalState::failed);
+    CHECK(rig.ends[1].id == "fresh" && rig.ends[1].finalState == store::FinalState::returned);
 }
 
 // The classes stand in another order than when these were taken, or have another effect: each is still of its
@@ -326,18 +327,19 @@
             check::configuration("127.0.0.1:0", "127.0.0.1:1", check::entry("a", "127.0.0.1:9", 7), settings),
             {{"BALANCER_STATE", "/tmp"}});
         Memory memory;
-        std::vector<store::Owed> ends;
-        decisions::Decisions facade(config, memory, {[&](const store::Owed& e) { ends.push_back(e); }, {}});
+        std::vector<store::PendingNotice> ends;
+        decisions::Decisions facade(config, memory,
+                                    {[&](const store::PendingNotice& e) { ends.push_back(e); }, {}});
         facade.report(config.known, true);
         auto m = left("m", 9000, c.ran ? 1 : 0, c.ran ? 1000 : 0);
-        m.grade = c.grade;
+        m.messageClass = c.grade;
         m.effect = c.effect;
         if (!c.key) m.key.clear();
         memory.live.insert("m");
         facade.restore({m});
         while (ends.empty() && facade.out() == 0) CHECK(facade.tick());
         CHECK(ends.empty() == c.called && (facade.out() == 1) == c.called);
-        CHECK(c.called || ends[0].end == store::End::failed);
+        CHECK(c.called || ends[0].finalState == store::FinalState::failed);
         facade.stop();
     }
 }
@@ -349,7 +351,8 @@
     const auto call = rig.facade.pick();
     CHECK(rig.facade.begin(*call));
     rig.facade.report(*call, ended(Ending::turnedAway, milliseconds(60000)));
-    CHECK(rig.ends.size() == 1 && rig.ends[0].end == store::End::returned && rig.ends[0].afterMs == 3000);
+    CHECK(rig.ends.size() == 1 && rig.ends[0].finalState == store::FinalState::returned &&
+          rig.ends[0].retryAfterMs == 3000);
     const auto verdict = rig.hand("n");
     CHECK(verdict.kind == Kind::refused && verdict.after == milliseconds(3000));
     CHECK(rig.facade.held() == 0 && rig.memory.live.empty());
--- a/tests/laurelhaven/journal_test.cpp
+++ b/tests/laurelhaven/journal_test.cpp
@@ -16,8 +16,8 @@
 
 constexpr std::uint64_t kDisk = 3'000'000;
 
-Taken message(const std::string& id, std::string body = "body") {
-    Taken m;
+StoredMessage message(const std::string& id, std::string body = "body") {
+    StoredMessage m;
     m.id = id;
     m.key = "key-" + id;
     m.destination = 7;
@@ -28,7 +28,7 @@
 
 void attemptAndSettle(Journal& journal, const std::string& id, RecordMs at, AttemptOutcome outcome) {
     const auto attempt = journal.beginAttempt(id, at);
-    CHECK(attempt && journal.settle(id, *attempt, outcome));
+    CHECK(attempt && journal.recordOutcome(id, *attempt, outcome));
 }
 
 std::string slurp(const std::string& path) {
@@ -51,34 +51,36 @@
         Journal journal(folder.path, kDisk);
         journal.recover();
         for (const char* id : {"fresh", "out", "ran", "full", "down", "done", "ended", "heard"})
-            CHECK(journal.take(message(id)));
+            CHECK(journal.accept(message(id)));
         CHECK(journal.beginAttempt("out", 100));
         attemptAndSettle(journal, "ran", 200, {true, true});
         attemptAndSettle(journal, "ran", 300, {true, true});
         attemptAndSettle(journal, "full", 400, {false, false});
-        CHECK(journal.failWithoutAttempt("down", 450));
-        journal.done("done");
-        journal.ended({"ended", End::returned, 500});
-        journal.ended({"heard", End::failed, 0});
-        journal.noticed("heard");
+        CHECK(journal.recordUnsentFailure("down", 450));
+        journal.remove("done");
+        journal.recordFinalState({"ended", FinalState::returned, 500});
+        journal.recordFinalState({"heard", FinalState::failed, 0});
+        journal.noticeAcknowledged("heard");
     }
     for (int life = 0; life < 2; ++life) {  // and the same from what a life has read and left
         const auto found = Journal(folder.path, kDisk).recover();
-        std::map<std::string, Taken> by;
+        std::map<std::string, StoredMessage> by;
         for (const auto& m : found.messages) by[m.id] = m;
         CHECK(by.size() == 5 && found.messages[0].id == "fresh");
         CHECK(by["fresh"].key == "key-fresh" && *by["fresh"].body == "body" &&
               by["fresh"].deadline == 1234567);
-        CHECK(by["fresh"].destination == 7 && by["fresh"].attempts.made() == 0 &&
+        CHECK(by["fresh"].destination == 7 && by["fresh"].attempts.attemptCount() == 0 &&
               !by["fresh"].attempts.mayHaveRunSince());
-        CHECK(by["out"].attempts.made() == 1 && by["out"].attempts.mayHaveRunSince() == 100);
+        CHECK(by["out"].attempts.attemptCount() == 1 && by["out"].attempts.mayHaveRunSince() == 100);
         const auto& ran = by["ran"].attempts;
-        CHECK(!ran.open() && ran.made() == 2 && ran.failures() == 2 && ran.mayHaveRunSince() == 200);
+        CHECK(!ran.openAttempt() && ran.attemptCount() == 2 && ran.failures() == 2 &&
+              ran.mayHaveRunSince() == 200);
         const auto& full = by["full"].attempts;
-        CHECK(full.made() == 1 && full.failures() == 0 && !full.mayHaveRunSince());
-        CHECK(by["down"].attempts.made() == 0 && by["down"].attempts.failures() == 1 &&
+        CHECK(full.attemptCount() == 1 && full.failures() == 0 && !full.mayHaveRunSince());
+        CHECK(by["down"].attempts.attemptCount() == 0 && by["down"].attempts.failures() == 1 &&
               by["down"].attempts.lastFailureAt() == 450);
-        CHECK(found.notices.size() == 1 && found.notices[0].id == "ended" && found.notices[0].afterMs == 500);
+        CHECK(found.notices.size() == 1 && found.notices[0].id == "ended" &&
+              found.notices[0].retryAfterMs == 500);
     }
 }
 
@@ -91,21 +93,22 @@
         const auto found = journal.recover();
         work(journal, found);
     };
-    life([](Journal& journal, const Recovered&) {
-        CHECK(journal.take(message("m")) && journal.beginAttempt("m", 100));
+    life([](Journal& journal, const RecoveredState&) {
+        CHECK(journal.accept(message("m")) && journal.beginAttempt("m", 100));
     });
-    life([](Journal& journal, const Recovered& found) {
+    life([](Journal& journal, const RecoveredState& found) {
         CHECK(found.messages.size() == 1 && found.messages[0].attempts.mayHaveRunSince() == 100);
         for (const RecordMs at : {200, 300}) {  // turned away, twice
             attemptAndSettle(journal, "m", at, {false, false});
         }
     });
-    life([](Journal& journal, const Recovered& found) {
+    life([](Journal& journal, const RecoveredState& found) {
         CHECK(found.messages.size() == 1 && found.messages[0].attempts.mayHaveRunSince() == 100);
         CHECK(journal.beginAttempt("m", 400));
     });
-    life([](Journal&, const Recovered& found) {
-        CHECK(found.messages[0].attempts.mayHaveRunSince() == 100 && found.messages[0].attempts.made() == 4);
+    life([](Journal&, const RecoveredState& found) {
+        CHECK(found.messages[0].attempts.mayHaveRunSince() == 100 &&
+              found.messages[0].attempts.attemptCount() == 4);
     });
 }
 
@@ -120,29 +123,32 @@
     };
     {
         Journal journal(folder.path, kDisk);
-        CHECK(journal.take(message("m")) && journal.beginAttempt("m", 100) == 1u);
-        CHECK(!journal.settle("m", 2, {false, false}) && !journal.neverLeft("m", 2));
-        CHECK(!journal.settle("other", 1, {false, false}) && !journal.failWithoutAttempt("other", 100));
+        CHECK(journal.accept(message("m")) && journal.beginAttempt("m", 100) == 1u);
+        CHECK(!journal.recordOutcome("m", 2, {false, false}) && !journal.attemptNotSent("m", 2));
+        CHECK(!journal.recordOutcome("other", 1, {false, false}) &&
+              !journal.recordUnsentFailure("other", 100));
     }
     life([](Journal& journal, const AttemptHistory& attempts) {
-        CHECK(attempts.mayHaveRunSince() == 100 && attempts.made() == 1);
-        CHECK(!journal.settle("m", 1, {false, false}));  // that was another life's
-        CHECK(journal.failWithoutAttempt("m", 150));
+        CHECK(attempts.mayHaveRunSince() == 100 && attempts.attemptCount() == 1);
+        CHECK(!journal.recordOutcome("m", 1, {false, false}));  // that was another life's
+        CHECK(journal.recordUnsentFailure("m", 150));
     });
     life([](Journal& journal, const AttemptHistory& attempts) {
         CHECK(attempts.mayHaveRunSince() == 100 && attempts.failures() == 1);
-        CHECK(journal.beginAttempt("m", 200) == 2u && journal.settle("m", 2, {false, false}));
-        CHECK(!journal.settle("m", 2, {true, true}));
+        CHECK(journal.beginAttempt("m", 200) == 2u && journal.recordOutcome("m", 2, {false, false}));
+        CHECK(!journal.recordOutcome("m", 2, {true, true}));
     });
     life([](Journal& journal, const AttemptHistory& attempts) {
-        CHECK(attempts.mayHaveRunSince() == 100 && attempts.made() == 2);
-        CHECK(!journal.noticed("m"));  // it has not ended, and is still owed
-        CHECK(journal.ended({"m", End::failed, 0}) && !journal.ended({"m", End::returned, 0}));
-        CHECK(!journal.done("m") && !journal.beginAttempt("m", 300));
+        CHECK(attempts.mayHaveRunSince() == 100 && attempts.attemptCount() == 2);
+        CHECK(!journal.noticeAcknowledged("m"));  // it has not ended, and is still owed
+        CHECK(journal.recordFinalState({"m", FinalState::failed, 0}) &&
+              !journal.recordFinalState({"m", FinalState::returned, 0}));
+        CHECK(!journal.remove("m") && !journal.beginAttempt("m", 300));
     });
     Journal journal(folder.path, kDisk);
     const auto found = journal.recover();
-    CHECK(found.messages.empty() && found.notices.size() == 1 && found.notices[0].end == End::failed);
+    CHECK(found.messages.empty() && found.notices.size() == 1 &&
+          found.notices[0].finalState == FinalState::failed);
 }
 
 // Records of the version before this one, whose attempts have no numbers. It wrote the failure of a connect
@@ -158,40 +164,41 @@
                           Case{true, true, true, true, 100}, Case{true, false, true, true, 100},
                           Case{false, false, true, true, {}}}) {
         const check::Folder folder;
-        auto file = framed("LHR1", Writer('M')
-                                       .text("m")
-                                       .text("key")
-                                       .number(7)
-                                       .text("g")
-                                       .text("t")
-                                       .number(1)
-                                       .number(1234567)
-                                       .number(0)
-                                       .number(0)
-                                       .number(0)
-                                       .number(0)
-                                       .number(0)
-                                       .text("body")
-                                       .take());
-        if (c.opens) file += framed("LHR1", Writer('A').text("m").number(100).take());
-        if (c.settled) file += framed("LHR1", Writer('O').text("m").number(c.ran).number(c.failed).take());
+        auto file = encodeFrame("LHR1", PayloadWriter('M')
+                                            .text("m")
+                                            .text("key")
+                                            .number(7)
+                                            .text("g")
+                                            .text("t")
+                                            .number(1)
+                                            .number(1234567)
+                                            .number(0)
+                                            .number(0)
+                                            .number(0)
+                                            .number(0)
+                                            .number(0)
+                                            .text("body")
+                                            .finish());
+        if (c.opens) file += encodeFrame("LHR1", PayloadWriter('A').text("m").number(100).finish());
+        if (c.settled)
+            file += encodeFrame("LHR1", PayloadWriter('O').text("m").number(c.ran).number(c.failed).finish());
         spill(folder.path + "/messages.log", file);
         for (int life = 0; life < 2; ++life) {
             Journal journal(folder.path, kDisk);
             const auto found = journal.recover();
             CHECK(found.messages.size() == 1 && found.messages[0].attempts.mayHaveRunSince() == c.since);
-            CHECK(journal.failWithoutAttempt("m", 200));
+            CHECK(journal.recordUnsentFailure("m", 200));
         }
     }
 }
 
 /// A record of the first form, as an earlier version wrote it: classes and tenants by their positions.
-std::string byPosition(const std::string& id, int grade, int tenant) {
-    const auto payload = Writer('T')
+std::string byPosition(const std::string& id, int messageClass, int tenant) {
+    const auto payload = PayloadWriter('T')
                              .text(id)
                              .text("key-" + id)
                              .number(7)
-                             .number(grade)
+                             .number(messageClass)
                              .number(tenant)
                              .number(1234567)
                              .number(1)
@@ -200,8 +207,8 @@
                              .number(0)
                              .number(100)
                              .text("body")
-                             .take();
-    return framed("LHR1", payload);
+                             .finish();
+    return encodeFrame("LHR1", payload);
 }
 
 // Records name classes and tenants; those of the first form mean what the configuration says of their
@@ -212,20 +219,22 @@
     {
         Journal journal(folder.path, kDisk, {{"a", "b"}, {"s", "t"}, {0, 2}});
         const auto found = journal.recover();
-        CHECK(found.messages.size() == 2 && found.messages[0].grade == "b" &&
+        CHECK(found.messages.size() == 2 && found.messages[0].messageClass == "b" &&
               found.messages[0].tenant == "t");
         CHECK(found.messages[0].effect == 2 && found.messages[0].attempts.mayHaveRunSince() == 100 &&
-              found.messages[0].attempts.made() == 1);
-        CHECK(found.messages[1].grade.empty());
+              found.messages[0].attempts.attemptCount() == 1);
+        CHECK(found.messages[1].messageClass.empty());
         auto fresh = message("new");
-        fresh.grade = "b", fresh.tenant = "s", fresh.effect = 2;
-        CHECK(journal.take(fresh));
+        fresh.messageClass = "b", fresh.tenant = "s", fresh.effect = 2;
+        CHECK(journal.accept(fresh));
     }
     // They stand in another order now.
     const auto found = Journal(folder.path, kDisk, {{"b", "a"}, {"t", "s"}, {1, 0}}).recover();
-    CHECK(found.messages.size() == 3 && found.messages[0].grade == "b" && found.messages[0].tenant == "t");
-    CHECK(found.messages[0].effect == 2 && found.messages[2].grade == "b" && found.messages[2].tenant == "s");
-    CHECK(found.messages[2].effect == 2 && found.messages[1].grade.empty());
+    CHECK(found.messages.size() == 3 && found.messages[0].messageClass == "b" &&
+          found.messages[0].tenant == "t");
+    CHECK(found.messages[0].effect == 2 && found.messages[2].messageClass == "b" &&
+          found.messages[2].tenant == "s");
+    CHECK(found.messages[2].effect == 2 && found.messages[1].messageClass.empty());
 }
 
 // An attempt that never left is none, over any number of lives; one that was out before it stays one that may
@@ -235,21 +244,23 @@
     {
         Journal journal(folder.path, kDisk);
         journal.recover();
-        CHECK(journal.take(message("m")) && journal.take(message("ran")));
+        CHECK(journal.accept(message("m")) && journal.accept(message("ran")));
         const auto attempt = journal.beginAttempt("m", 100);
-        CHECK(attempt && journal.neverLeft("m", *attempt));
-        CHECK(!journal.neverLeft("m", *attempt));  // nothing is left to take back
+        CHECK(attempt && journal.attemptNotSent("m", *attempt));
+        CHECK(!journal.attemptNotSent("m", *attempt));  // nothing is left to take back
         CHECK(journal.beginAttempt("ran", 100));
     }
     {
         Journal journal(folder.path, kDisk);
         const auto found = journal.recover();
-        CHECK(found.messages[0].attempts.made() == 0 && !found.messages[0].attempts.mayHaveRunSince());
+        CHECK(found.messages[0].attempts.attemptCount() == 0 &&
+              !found.messages[0].attempts.mayHaveRunSince());
         const auto attempt = journal.beginAttempt("ran", 200);
-        CHECK(attempt && journal.neverLeft("ran", *attempt));
+        CHECK(attempt && journal.attemptNotSent("ran", *attempt));
     }
     const auto found = Journal(folder.path, kDisk).recover();
-    CHECK(found.messages[1].attempts.made() == 1 && found.messages[1].attempts.mayHaveRunSince() == 100);
+    CHECK(found.messages[1].attempts.attemptCount() == 1 &&
+          found.messages[1].attempts.mayHaveRunSince() == 100);
 }
 
 // A process may be killed at any byte: whatever was written whole is there, and the tail is dropped.
@@ -261,7 +272,7 @@
         Journal journal(folder.path, kDisk);
         journal.recover();
         for (int i = 0; i < 4; ++i) {
-            CHECK(journal.take(message("m" + std::to_string(i), "LHR1" + std::string(i * 7, 'x'))));
+            CHECK(journal.accept(message("m" + std::to_string(i), "LHR1" + std::string(i * 7, 'x'))));
             ends.push_back(journal.fileBytes());
         }
     }
@@ -272,7 +283,7 @@
         while (whole < ends.size() && ends[whole] <= cut) ++whole;
         Journal journal(folder.path, kDisk);
         CHECK(journal.recover().messages.size() == whole);
-        CHECK(journal.take(message("after")));  // what is written next is readable
+        CHECK(journal.accept(message("after")));  // what is written next is readable
         CHECK(Journal(folder.path, kDisk).recover().messages.size() == whole + 1);
     }
     check::Chance chance(5);
@@ -294,7 +305,7 @@
     journal.recover();
     const std::string big(64 * 1024, 'b');
     int taken = 0;
-    while (journal.take(message("big" + std::to_string(taken), big))) CHECK(++taken < 100);
+    while (journal.accept(message("big" + std::to_string(taken), big))) CHECK(++taken < 100);
     CHECK(taken >= 20);
     for (int round = 0; round < 8 * taken; ++round) {
         const auto id = "big" + std::to_string(round % taken);
@@ -302,13 +313,14 @@
         CHECK(diskUse(folder.path) <= kDisk);
     }
     CHECK(Journal(folder.path, kDisk).recover().messages.size() == static_cast<std::size_t>(taken));
-    for (int i = 0; i < taken; ++i) journal.ended({"big" + std::to_string(i), End::failed, 0});
+    for (int i = 0; i < taken; ++i)
+        journal.recordFinalState({"big" + std::to_string(i), FinalState::failed, 0});
     std::uint64_t most = 0;
     for (int i = 0; i < 400; ++i) {  // many times the limit passes through
         const auto id = "m" + std::to_string(i);
-        CHECK(journal.take(message(id, big)));
+        CHECK(journal.accept(message(id, big)));
         CHECK(journal.beginAttempt(id, 1));
-        journal.done(id);
+        journal.remove(id);
         most = std::max(most, diskUse(folder.path));
     }
     // Of all that, no more is kept than is alive, and a little: the folder counts as memory.
@@ -327,12 +339,12 @@
     {
         Journal journal(folder.path, kDisk);
         journal.recover();
-        CHECK(journal.take(message("m")) && journal.take(message("done")));
+        CHECK(journal.accept(message("m")) && journal.accept(message("done")));
         taken = journal.fileBytes();
         CHECK(journal.beginAttempt("m", 100));
         tried = journal.fileBytes();
-        journal.done("done");
-        CHECK(journal.take(message("after")));
+        journal.remove("done");
+        CHECK(journal.accept(message("after")));
     }
     const auto bytes = slurp(path);
     for (auto at = taken; at < tried; ++at) {
@@ -352,16 +364,16 @@
     {
         Journal journal(folder.path, kDisk);
         journal.recover();
-        CHECK(journal.take(message("m")) && !journal.take(message("m")));
-        journal.ended({"m", End::returned, 500});
-        CHECK(!journal.take(message("m")));
-        CHECK(journal.take(message("other")));
+        CHECK(journal.accept(message("m")) && !journal.accept(message("m")));
+        journal.recordFinalState({"m", FinalState::returned, 500});
+        CHECK(!journal.accept(message("m")));
+        CHECK(journal.accept(message("other")));
     }
     Journal journal(folder.path, kDisk);
     const auto found = journal.recover();
     CHECK(found.notices.size() == 1 && found.messages.size() == 1);
-    journal.noticed("m");
-    CHECK(journal.take(message("m")));
+    journal.noticeAcknowledged("m");
+    CHECK(journal.accept(message("m")));
 }
 
 }  // namespace
--- a/tests/laurelhaven/no_store.hpp
+++ b/tests/laurelhaven/no_store.hpp
@@ -8,21 +8,21 @@
 namespace check {
 
 struct NoStore : laurelhaven::store::Store {
-    laurelhaven::store::Recovered recover() override { return {}; }
-    bool take(const laurelhaven::store::Taken&) override { return true; }
+    laurelhaven::store::RecoveredState recover() override { return {}; }
+    bool accept(const laurelhaven::store::StoredMessage&) override { return true; }
     std::optional<laurelhaven::store::AttemptNumber> beginAttempt(const std::string&,
                                                                   laurelhaven::store::RecordMs) override {
         return 1;
     }
-    bool neverLeft(const std::string&, laurelhaven::store::AttemptNumber) override { return true; }
-    bool settle(const std::string&, laurelhaven::store::AttemptNumber,
-                laurelhaven::store::AttemptOutcome) override {
+    bool attemptNotSent(const std::string&, laurelhaven::store::AttemptNumber) override { return true; }
+    bool recordOutcome(const std::string&, laurelhaven::store::AttemptNumber,
+                       laurelhaven::store::AttemptOutcome) override {
         return true;
     }
-    bool failWithoutAttempt(const std::string&, laurelhaven::store::RecordMs) override { return true; }
-    bool done(const std::string&) override { return true; }
-    bool ended(const laurelhaven::store::Owed&) override { return true; }
-    bool noticed(const std::string&) override { return true; }
+    bool recordUnsentFailure(const std::string&, laurelhaven::store::RecordMs) override { return true; }
+    bool remove(const std::string&) override { return true; }
+    bool recordFinalState(const laurelhaven::store::PendingNotice&) override { return true; }
+    bool noticeAcknowledged(const std::string&) override { return true; }
 };
 
 }  // namespace check
--- a/tests/laurelhaven/race_test.cpp
+++ b/tests/laurelhaven/race_test.cpp
@@ -275,7 +275,7 @@
               configuration("127.0.0.1:0", "127.0.0.1:1", entry("a", "127.0.0.1:9", 7), settings(4, 100)),
               {{"BALANCER_STATE", "/tmp"}})),
           facade(config, store,
-                 {[](const store::Owed&) {},
+                 {[](const store::PendingNotice&) {},
                   [](const std::string&) {},
                   {},
                   {},
@@ -452,7 +452,8 @@
         configuration("127.0.0.1:0", "127.0.0.1:1", entry("a", local(partner.port), 7), patient),
         {{"BALANCER_STATE", "/tmp"}});
     NoStore store;
-    decisions::Decisions facade(config, store, {[](const store::Owed&) {}, [](const std::string&) {}});
+    decisions::Decisions facade(config, store,
+                                {[](const store::PendingNotice&) {}, [](const std::string&) {}});
     delivery::Delivery delivery(config, facade);
     facade.report(config.known, true);
     delivery.start();
@@ -499,7 +500,8 @@
                           entry("a", local(a.port), 7) + "," + entry("b", local(b.port), 7), may),
             {{"BALANCER_STATE", "/tmp"}});
         NoStore store;
-        decisions::Decisions facade(config, store, {[](const store::Owed&) {}, [](const std::string&) {}});
+        decisions::Decisions facade(config, store,
+                                    {[](const store::PendingNotice&) {}, [](const std::string&) {}});
         roster::Options options;
         options.keep = false;
         options.probeTimeout = std::chrono::seconds(20);
@@ -554,11 +556,11 @@
         add('a');
         return 1;
     }
-    bool neverLeft(const std::string&, store::AttemptNumber) override { return add('u'), true; }
-    bool settle(const std::string&, store::AttemptNumber, store::AttemptOutcome) override {
+    bool attemptNotSent(const std::string&, store::AttemptNumber) override { return add('u'), true; }
+    bool recordOutcome(const std::string&, store::AttemptNumber, store::AttemptOutcome) override {
         return add('o'), true;
     }
-    bool done(const std::string&) override { return add('d'), true; }
+    bool remove(const std::string&) override { return add('d'), true; }
 };
 
 // The far side speaks or leaves on a kept connection between the look at it and the first byte. The call goes
@@ -607,7 +609,8 @@
             spoken.wait(lock, [&] { return done; });
             std::this_thread::sleep_for(milliseconds(5));  // on loopback it is there by then
         };
-        decisions::Decisions facade(config, told, {[](const store::Owed&) {}, [](const std::string&) {}});
+        decisions::Decisions facade(config, told,
+                                    {[](const store::PendingNotice&) {}, [](const std::string&) {}});
         delivery::Delivery delivery(config, facade);
         facade.report(config.known, true);
         delivery.start();
@@ -637,7 +640,8 @@
     const auto config = config::fromText(
         configuration("127.0.0.1:0", "127.0.0.1:1", entry("a", "127.0.0.1:9", 7), settings(6, 9)),
         {{"BALANCER_STATE", "/tmp"}});
-    decisions::Decisions facade(config, told, {[](const store::Owed&) {}, [](const std::string&) {}});
+    decisions::Decisions facade(config, told,
+                                {[](const store::PendingNotice&) {}, [](const std::string&) {}});
     facade.report(config.known, true);
     using decisions::Ending;
     const std::pair<Ending, std::string> cases[] = {{Ending::delivered, "ad"},
@@ -673,7 +677,8 @@
     const auto config = config::fromText(
         configuration("127.0.0.1:0", "127.0.0.1:1", entry("a", "127.0.0.1:9", 7), settings(8, 9)),
         {{"BALANCER_STATE", "/tmp"}});
-    decisions::Decisions facade(config, store, {[](const store::Owed&) {}, [](const std::string&) {}});
+    decisions::Decisions facade(config, store,
+                                {[](const store::PendingNotice&) {}, [](const std::string&) {}});
     facade.report(config.known, true);
     for (int i = 0; i < 3; ++i) {
         CHECK(facade.report(message("m" + std::to_string(i))).kind == decisions::Verdict::Kind::taken);
--- a/tests/laurelhaven/shared_test.cpp
+++ b/tests/laurelhaven/shared_test.cpp
@@ -39,7 +39,7 @@
               {{"BALANCER_STATE", folder.path}})),
           journal(folder.path, 3'000'000),
           facade(config, journal,
-                 {[this](const store::Owed& notice) { ++seen[number(notice.id)].noticed; },
+                 {[this](const store::PendingNotice& notice) { ++seen[number(notice.id)].noticed; },
                   [](const std::string&) {}}) {
         journal.recover();
         facade.report(config.known, true);
