--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 using listing::Status;
 using membership::Entry;
-using membership::Heard;
+using membership::ListUpdateResult;
 using membership::Membership;
 using std::chrono::milliseconds;
 using trust::Against;
@@ -37,17 +37,17 @@
 Entry kept(const std::string& name, const std::string& address, std::uint64_t index, milliseconds ago,
            Against against = Against::nothing) {
     Entry e;
-    e.is = endpoint(name, address);
+    e.endpoint = endpoint(name, address);
     e.index = index;
-    e.confirmedAt = e.firstTold = kNow - ago.count();
-    e.by = trust::Source::discovery;
-    e.against = against;
-    if (against != Against::nothing) e.againstAt = e.confirmedAt;
+    e.confirmedAt = e.firstListedAt = kNow - ago.count();
+    e.confirmedBy = trust::Source::discovery;
+    e.refutation = against;
+    if (against != Against::nothing) e.refutedAt = e.confirmedAt;
     return e;
 }
 Level level(const Membership& m, const std::string& name, RecordMs now = kNow) {
     const auto* e = m.find(name);
-    return e ? m.judge(*e, now).level : Level::refuted;
+    return e ? m.assess(*e, now).level : Level::refuted;
 }
 bool usable(const Membership& m, const std::string& name, RecordMs now = kNow) {
     const auto l = level(m, name, now);
@@ -59,7 +59,7 @@
     m.restore(41, 0, {});
     m.restore(kept("a", "127.0.0.1:1", 41, 5s, Against::drained));
     m.restore(kept("b", "127.0.0.1:2", 30, 5s));
-    m.configured(
+    m.applyConfiguration(
         list(35, true,
              {endpoint("a", "127.0.0.1:1"), endpoint("b", "127.0.0.1:2"), endpoint("old", "127.0.0.1:3")}),
         kNow);
@@ -74,7 +74,7 @@
     m.restore(41, 0, {});
     m.restore(kept("a", "127.0.0.1:1", 41, 5s));
     m.restore(kept("b", "127.0.0.1:2", 41, 5s, Against::drained));
-    m.configured(list(50, true, {endpoint("b", "127.0.0.1:2"), endpoint("c", "127.0.0.1:3")}), kNow);
+    m.applyConfiguration(list(50, true, {endpoint("b", "127.0.0.1:2"), endpoint("c", "127.0.0.1:3")}), kNow);
     EXPECT_FALSE(usable(m, "a"));
     EXPECT_TRUE(usable(m, "b"));
     EXPECT_TRUE(usable(m, "c"));
@@ -85,92 +85,94 @@
     Membership m({});
     m.restore(41, 0, {});
     m.restore(kept("a", "127.0.0.1:1", 41, 5s));
-    const auto heard = m.heard(list(42, false, {endpoint("b", "127.0.0.1:1")}), kNow);
-    EXPECT_EQ(heard.kind, Heard::Kind::taken);
-    EXPECT_EQ(m.find("a")->against, Against::addressTaken);
+    const auto heard = m.applyUpdate(list(42, false, {endpoint("b", "127.0.0.1:1")}), kNow);
+    EXPECT_EQ(heard.kind, ListUpdateResult::Kind::merged);
+    EXPECT_EQ(m.find("a")->refutation, Against::addressTaken);
     EXPECT_FALSE(usable(m, "a"));
     EXPECT_TRUE(usable(m, "b"));
     // The list that names both knows better: it is one index.
     Membership both({});
-    both.heard(list(5, true, {endpoint("a", "127.0.0.1:1"), endpoint("b", "127.0.0.1:1")}), kNow);
+    both.applyUpdate(list(5, true, {endpoint("a", "127.0.0.1:1"), endpoint("b", "127.0.0.1:1")}), kNow);
     EXPECT_TRUE(usable(both, "a") && usable(both, "b"));
 }
 
 TEST(Membership, AnAddressThatMovedIsAnotherPlace) {
     Membership m({});
-    m.heard(list(5, true, {endpoint("a", "127.0.0.1:1")}), kNow);
-    m.answered("a", trust::Source::call, kNow);
-    m.heard(list(6, false, {endpoint("a", "127.0.0.1:9")}), kNow);
-    EXPECT_EQ(m.find("a")->is.address, "127.0.0.1:9");
-    EXPECT_FALSE(m.find("a")->answered);
-    m.heard(list(7, false, {endpoint("b", "127.0.0.1:1")}), kNow);  // where it was is free for another
+    m.applyUpdate(list(5, true, {endpoint("a", "127.0.0.1:1")}), kNow);
+    m.recordAnswer("a", trust::Source::call, kNow);
+    m.applyUpdate(list(6, false, {endpoint("a", "127.0.0.1:9")}), kNow);
+    EXPECT_EQ(m.find("a")->endpoint.address, "127.0.0.1:9");
+    EXPECT_FALSE(m.find("a")->answeredThisRun);
+    m.applyUpdate(list(7, false, {endpoint("b", "127.0.0.1:1")}), kNow);  // where it was is free for another
     EXPECT_TRUE(usable(m, "a") && usable(m, "b"));
 }
 
 TEST(Membership, DrainsAndDeletionsHoldAtOnceAndOnlySomethingYoungerRaisesThem) {
     Membership m({});
-    m.heard(fleet(5, 3), kNow);
-    m.heard(list(6, false,
-                 {endpoint("e0", "127.0.0.1:1000", 1, Status::draining),
-                  endpoint("e1", "127.0.0.1:1001", 1, Status::deleted)}),
-            kNow);
+    m.applyUpdate(fleet(5, 3), kNow);
+    m.applyUpdate(list(6, false,
+                       {endpoint("e0", "127.0.0.1:1000", 1, Status::draining),
+                        endpoint("e1", "127.0.0.1:1001", 1, Status::deleted)}),
+                  kNow);
     EXPECT_FALSE(usable(m, "e0") || usable(m, "e1"));
-    EXPECT_EQ(m.heard(list(6, false, {endpoint("e0", "127.0.0.1:1000")}), kNow).kind, Heard::Kind::known);
+    EXPECT_EQ(m.applyUpdate(list(6, false, {endpoint("e0", "127.0.0.1:1000")}), kNow).kind,
+              ListUpdateResult::Kind::unchanged);
     EXPECT_FALSE(usable(m, "e0"));
-    m.heard(list(7, false, {endpoint("e0", "127.0.0.1:1000")}), kNow);
+    m.applyUpdate(list(7, false, {endpoint("e0", "127.0.0.1:1000")}), kNow);
     EXPECT_TRUE(usable(m, "e0"));
 }
 
 TEST(Membership, ADiscoveryThatLostItsHistoryIsRecognisedAndRaisesNothing) {
     Membership m({});
-    m.heard(fleet(50, 6), kNow);
-    m.heard(list(51, false, {endpoint("e0", "127.0.0.1:1000", 1, Status::draining)}), kNow);
-    m.lost(kNow);
-    EXPECT_EQ(m.heard(list(3, false, {endpoint("e9", "127.0.0.1:2000")}), kNow).kind, Heard::Kind::askWhole);
+    m.applyUpdate(fleet(50, 6), kNow);
+    m.applyUpdate(list(51, false, {endpoint("e0", "127.0.0.1:1000", 1, Status::draining)}), kNow);
+    m.discoveryLost(kNow);
+    EXPECT_EQ(m.applyUpdate(list(3, false, {endpoint("e9", "127.0.0.1:2000")}), kNow).kind,
+              ListUpdateResult::Kind::fullListNeeded);
     EXPECT_EQ(m.find("e9"), nullptr);
     auto whole = fleet(3, 6);
-    const auto heard = m.heard(whole, kNow + 1000);
-    EXPECT_EQ(heard.kind, Heard::Kind::lostHistory);
+    const auto heard = m.applyUpdate(whole, kNow + 1000);
+    EXPECT_EQ(heard.kind, ListUpdateResult::Kind::lostHistory);
     EXPECT_EQ(m.index(), 3u);
     EXPECT_EQ(m.epoch(), 1u);
     EXPECT_FALSE(usable(m, "e0", kNow + 1000));  // it drained; an older source says it serves
     EXPECT_TRUE(usable(m, "e1", kNow + 1000));
     // From here on its own numbering counts, and its news is news.
-    EXPECT_EQ(m.heard(list(4, false, {endpoint("e7", "127.0.0.1:3000")}), kNow + 2000).kind,
-              Heard::Kind::taken);
+    EXPECT_EQ(m.applyUpdate(list(4, false, {endpoint("e7", "127.0.0.1:3000")}), kNow + 2000).kind,
+              ListUpdateResult::Kind::merged);
     EXPECT_TRUE(usable(m, "e7", kNow + 2000));
     // It started again after it drained: it is another life of it.
     whole.index = 2;
     whole.endpoints[0].sinceMs = kNow + 500;
-    m.heard(whole, kNow + 3000);
+    m.applyUpdate(whole, kNow + 3000);
     EXPECT_TRUE(usable(m, "e0", kNow + 3000));
 }
 
 TEST(Membership, ASuspiciouslySmallListIsRememberedForAWhileAndSentNothing) {
     Membership m({});
-    m.heard(fleet(5, 10), kNow);
-    const auto heard = m.heard(list(6, true, {}), kNow);
-    EXPECT_EQ(heard.heldBack, 10u);
+    m.applyUpdate(fleet(5, 10), kNow);
+    const auto heard = m.applyUpdate(list(6, true, {}), kNow);
+    EXPECT_EQ(heard.suspended, 10u);
     EXPECT_FALSE(usable(m, "e0"));
-    EXPECT_EQ(m.of(1).size(), 10u);
-    EXPECT_FALSE(m.find("e0")->tombstone());
-    m.heard(fleet(7, 10), kNow + 2000);  // named again: as before
+    EXPECT_EQ(m.endpointsOf(1).size(), 10u);
+    EXPECT_FALSE(m.find("e0")->isTombstone());
+    m.applyUpdate(fleet(7, 10), kNow + 2000);  // named again: as before
     EXPECT_TRUE(usable(m, "e0", kNow + 2000));
-    EXPECT_EQ(m.heard(list(8, true, {}), kNow + 3000).heldBack, 10u);
+    EXPECT_EQ(m.applyUpdate(list(8, true, {}), kNow + 3000).suspended, 10u);
     EXPECT_TRUE(m.expire(kNow + 4000).empty());
     EXPECT_EQ(m.expire(kNow + 40000).size(), 10u);
-    EXPECT_TRUE(m.find("e0")->tombstone());
+    EXPECT_TRUE(m.find("e0")->isTombstone());
 }
 
 TEST(Membership, AListThatIsALittleSmallerIsTakenAsItIs) {
     Membership m({});
-    m.heard(fleet(5, 10), kNow);
-    EXPECT_EQ(m.heard(fleet(6, 8), kNow).heldBack, 0u);
-    EXPECT_TRUE(m.find("e9")->tombstone());
+    m.applyUpdate(fleet(5, 10), kNow);
+    EXPECT_EQ(m.applyUpdate(fleet(6, 8), kNow).suspended, 0u);
+    EXPECT_TRUE(m.find("e9")->isTombstone());
     // The first list of a life is not compared with what an old file says.
     Membership fresh({});
-    fresh.configured(fleet(5, 10), kNow);
-    EXPECT_EQ(fresh.heard(fleet(6, 2), kNow).heldBack, 0u);
+    fresh.applyConfiguration(fleet(5, 10), kNow);
+    EXPECT_EQ(fresh.applyUpdate(fleet(6, 2), kNow).suspended, 0u);
 }
 
 TEST(Membership, ChangesAfterOurVersionStandByTheRest) {
@@ -179,10 +181,10 @@
     m.restore(kept("a", "127.0.0.1:1", 41, 24h));
     m.restore(kept("b", "127.0.0.1:2", 41, 24h));
     EXPECT_EQ(level(m, "a"), Level::stale);
-    m.heard(list(42, false, {endpoint("c", "127.0.0.1:3")}), kNow);
+    m.applyUpdate(list(42, false, {endpoint("c", "127.0.0.1:3")}), kNow);
     EXPECT_EQ(level(m, "a"), Level::confirmed);
     EXPECT_EQ(level(m, "c"), Level::confirmed);
-    m.lost(kNow + 1000);
+    m.discoveryLost(kNow + 1000);
     EXPECT_EQ(level(m, "a", kNow + 2000), Level::confirmed);
     EXPECT_EQ(level(m, "a", kNow + 60000), Level::ageing);
 }
@@ -191,13 +193,13 @@
     Membership m({});
     m.restore(41, 0, {});
     m.restore(kept("a", "127.0.0.1:1", 41, 24h));
-    m.answered("a", trust::Source::probe, kNow);
+    m.recordAnswer("a", trust::Source::probe, kNow);
     EXPECT_TRUE(usable(m, "a"));
-    EXPECT_TRUE(m.contradict("a", Against::notOurs, kNow));
+    EXPECT_TRUE(m.refuteByAnswer("a", Against::notOurs, kNow));
     EXPECT_FALSE(usable(m, "a"));
-    m.heard(list(42, true, {endpoint("a", "127.0.0.1:1")}), kNow);
+    m.applyUpdate(list(42, true, {endpoint("a", "127.0.0.1:1")}), kNow);
     EXPECT_TRUE(usable(m, "a"));
-    EXPECT_FALSE(m.contradict("a", Against::notOurs, kNow));
+    EXPECT_FALSE(m.refuteByAnswer("a", Against::notOurs, kNow));
 }
 
 TEST(Membership, TombstonesAreBoundedInNumberAndAge) {
@@ -208,12 +210,12 @@
     RecordMs now = kNow;
     for (int i = 0; i < 500; ++i) {
         const auto name = "e" + std::to_string(i);
-        m.heard(list(++index, false, {endpoint(name, "127.0.0.1:1")}), now);
-        m.heard(list(++index, false, {endpoint(name, "127.0.0.1:1", 1, Status::deleted)}), now);
+        m.applyUpdate(list(++index, false, {endpoint(name, "127.0.0.1:1")}), now);
+        m.applyUpdate(list(++index, false, {endpoint(name, "127.0.0.1:1", 1, Status::deleted)}), now);
         now += 1000;
         m.expire(now);
     }
-    EXPECT_EQ(m.tombstones(), 20u);
+    EXPECT_EQ(m.tombstoneCount(), 20u);
     EXPECT_EQ(m.entries().size(), 20u);
     m.expire(now + milliseconds(25h).count());
     EXPECT_EQ(m.entries().size(), 0u);
@@ -236,7 +238,7 @@
             const auto draw = below(10);
             if (draw < 6) {
                 const auto status = static_cast<Status>(below(3));
-                m.heard(list(++index, false, {endpoint(name, at, 1 + below(3), status)}), now);
+                m.applyUpdate(list(++index, false, {endpoint(name, at, 1 + below(3), status)}), now);
                 if (status != Status::deleted || gone.count(name)) gone[name] = status != Status::serving;
             } else if (draw < 7) {
                 std::set<std::string> named;
@@ -247,28 +249,28 @@
                             endpoint("e" + std::to_string(i), "127.0.0.1:" + std::to_string(200 + i)));
                         named.insert(all.back().name);
                     }
-                m.heard(list(++index, true, all), now);
+                m.applyUpdate(list(++index, true, all), now);
                 for (int i = 0; i < 8; ++i)
                     if (const auto n = "e" + std::to_string(i); named.count(n) || gone.count(n))
                         gone[n] = !named.count(n);
             } else if (draw < 8) {  // an agent that is behind
-                m.heard(list(index - 5, false, {endpoint(name, at)}), now);
+                m.applyUpdate(list(index - 5, false, {endpoint(name, at)}), now);
             } else if (draw < 9) {
-                m.lost(now);
+                m.discoveryLost(now);
             } else {
-                m.answered(name, trust::Source::call, now);
+                m.recordAnswer(name, trust::Source::call, now);
                 m.expire(now);
             }
             std::size_t graves = 0, members = 0;
             for (const auto& entry : m.entries()) {
-                graves += entry->tombstone();
-                const auto& fellows = m.of(entry->is.group);
+                graves += entry->isTombstone();
+                const auto& fellows = m.endpointsOf(entry->endpoint.group);
                 members += static_cast<std::size_t>(std::count(fellows.begin(), fellows.end(), entry.get()));
-                const auto& id = entry->is.name;
+                const auto& id = entry->endpoint.name;
                 const bool over = gone.count(id) && gone[id];
                 ASSERT_FALSE(over && usable(m, id, now)) << "seed " << seed << " step " << step << " " << id;
             }
-            ASSERT_EQ(graves, m.tombstones()) << "seed " << seed;
+            ASSERT_EQ(graves, m.tombstoneCount()) << "seed " << seed;
             ASSERT_EQ(members, m.entries().size()) << "seed " << seed;
         }
     }
--- a/tests/store/disk_faults_test.cpp
+++ b/tests/store/disk_faults_test.cpp
@@ -21,8 +21,8 @@
     JournalDiskFaults() { laurelhaven::log::setLevel(laurelhaven::log::Level::off); }
     ~JournalDiskFaults() override { repairDisk(); }
 
-    static Taken message(const std::string& id) {
-        Taken taken;
+    static StoredMessage message(const std::string& id) {
+        StoredMessage taken;
         taken.id = id;
         taken.key = "key-" + id;
         taken.destination = 7;
@@ -36,8 +36,8 @@
             failure->disarm();
         faults::writtenBeforeFailure = 0;
     }
-    std::map<std::string, Taken> messagesAfterKill() const {
-        std::map<std::string, Taken> byId;
+    std::map<std::string, StoredMessage> messagesAfterKill() const {
+        std::map<std::string, StoredMessage> byId;
         for (const auto& found : Journal(folder_.path, kDiskBytes).recover().messages) byId[found.id] = found;
         return byId;
     }
@@ -51,38 +51,38 @@
     journal.recover();
     std::map<std::string, AttemptNumber> attempts;
     for (const char* id : {"delivered", "failed", "refused", "unsent", "returned", "told"}) {
-        ASSERT_TRUE(journal.take(message(id)));
+        ASSERT_TRUE(journal.accept(message(id)));
         const auto attempt = journal.beginAttempt(id, 100);
         ASSERT_TRUE(attempt.has_value());
         attempts[id] = *attempt;
     }
-    journal.ended({"told", End::failed, 0});
+    journal.recordFinalState({"told", FinalState::failed, 0});
 
     faults::writeFailure.arm(ENOSPC);
-    journal.done("delivered");
-    EXPECT_TRUE(journal.settle("failed", attempts["failed"], {true, true}));
-    EXPECT_TRUE(journal.settle("refused", attempts["refused"], {false, false}));
-    EXPECT_TRUE(journal.neverLeft("unsent", attempts["unsent"]));
-    journal.ended({"returned", End::returned, 500});
-    journal.noticed("told");
-    EXPECT_FALSE(journal.take(message("late"))) << "nothing may be taken on that is not on record";
+    journal.remove("delivered");
+    EXPECT_TRUE(journal.recordOutcome("failed", attempts["failed"], {true, true}));
+    EXPECT_TRUE(journal.recordOutcome("refused", attempts["refused"], {false, false}));
+    EXPECT_TRUE(journal.attemptNotSent("unsent", attempts["unsent"]));
+    journal.recordFinalState({"returned", FinalState::returned, 500});
+    journal.noticeAcknowledged("told");
+    EXPECT_FALSE(journal.accept(message("late"))) << "nothing may be taken on that is not on record";
     EXPECT_FALSE(journal.beginAttempt("refused", 200)) << "no call may begin that is not on record";
     repairDisk();
 
-    ASSERT_TRUE(journal.take(message("next")));
+    ASSERT_TRUE(journal.accept(message("next")));
     auto found = messagesAfterKill();
     EXPECT_FALSE(found.count("delivered"));
     EXPECT_EQ(found["failed"].attempts.mayHaveRunSince(), 100);
     EXPECT_EQ(found["failed"].attempts.failures(), 1u);
     EXPECT_FALSE(found["refused"].attempts.mayHaveRunSince().has_value());
-    EXPECT_EQ(found["unsent"].attempts.made(), 0u);
+    EXPECT_EQ(found["unsent"].attempts.attemptCount(), 0u);
     EXPECT_FALSE(found.count("returned"));
     EXPECT_TRUE(found.count("next"));
     EXPECT_FALSE(found.count("late"));
     const auto notices = Journal(folder_.path, kDiskBytes).recover().notices;
     ASSERT_EQ(notices.size(), 1u);
     EXPECT_EQ(notices[0].id, "returned");
-    EXPECT_EQ(notices[0].afterMs, 500);
+    EXPECT_EQ(notices[0].retryAfterMs, 500);
 }
 
 // Half of a record stays in the file as it can't be cut off either. What is written behind it must not make
@@ -90,15 +90,15 @@
 TEST_F(JournalDiskFaults, HalfARecordThatCannotBeCutOffLeavesNoDoubt) {
     Journal journal(folder_.path, kDiskBytes);
     journal.recover();
-    ASSERT_TRUE(journal.take(message("before")));
+    ASSERT_TRUE(journal.accept(message("before")));
     faults::writtenBeforeFailure = 20;
     faults::writeFailure.arm(EIO);
     faults::truncateFailure.arm(EIO);
-    EXPECT_FALSE(journal.take(message("torn")));
+    EXPECT_FALSE(journal.accept(message("torn")));
     faults::writeFailure.disarm();
-    const bool stored = journal.take(message("behind"));
+    const bool stored = journal.accept(message("behind"));
     repairDisk();
-    ASSERT_TRUE(journal.take(message("after")));
+    ASSERT_TRUE(journal.accept(message("after")));
     auto found = messagesAfterKill();
     for (const char* id : {"before", "after"}) {
         ASSERT_TRUE(found.count(id)) << id;
@@ -114,7 +114,7 @@
     {
         Journal journal(folder_.path, kDiskBytes);
         journal.recover();
-        for (int i = 0; i < 3; ++i) ASSERT_TRUE(journal.take(message("m" + std::to_string(i))));
+        for (int i = 0; i < 3; ++i) ASSERT_TRUE(journal.accept(message("m" + std::to_string(i))));
     }
     {
         Journal journal(folder_.path, kDiskBytes);
@@ -129,11 +129,11 @@
 TEST_F(JournalDiskFaults, ACompactionThatFailsLosesNothing) {
     Journal journal(folder_.path, kDiskBytes);
     journal.recover();
-    ASSERT_TRUE(journal.take(message("kept")));
+    ASSERT_TRUE(journal.accept(message("kept")));
     const auto churn = [&](int rounds) {
         for (int i = 0; i < rounds; ++i) {
             const auto id = "m" + std::to_string(i);
-            if (journal.take(message(id))) journal.done(id);
+            if (journal.accept(message(id))) journal.remove(id);
         }
     };
     faults::renameFailure.arm(EIO);
--- a/tests/trace/trace_test.cpp
+++ b/tests/trace/trace_test.cpp
@@ -381,7 +381,7 @@
         result.wait = milliseconds(1500);
         result.allowedRate = 4.5;
         capture.answered(call, result, milliseconds(30));
-        capture.ended({"m1", store::End::failed, 0});
+        capture.ended({"m1", store::FinalState::failed, 0});
     }
     ASSERT_EQ(files().size(), 1u);
     const auto records = read(files()[0]);
