--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -56,7 +56,7 @@
     for (int i = 0; i < 8; ++i)
         list.endpoints.push_back({"s-" + std::to_string(i), "127.0.0.1:9", "quimper", "partner",
                                   static_cast<std::uint64_t>(i), listing::Status::serving, 1e9, 0});
-    facade.report(list, true);
+    facade.updateEndpoints(list, true);
     capture.start();
     const auto body = std::make_shared<const std::string>(300, 'x');
     std::vector<double> took;
@@ -64,19 +64,19 @@
     const auto begun = Steady::now();
     for (int i = 0; i < messages; ++i) {
         const auto at = Steady::now();
-        decisions::HandIn message;
+        decisions::Submission message;
         message.id = "message-" + std::to_string(i);
         message.key = message.id;
         message.destination = static_cast<std::uint64_t>(i % 8);
         message.deadline = at + std::chrono::seconds(12);
         message.body = body;
-        if (facade.report(message).kind != decisions::Verdict::Kind::taken) continue;
-        while (facade.out() == 0) facade.tick();
-        const auto call = facade.pick();
-        if (!call || !facade.begin(*call)) return {};
-        decisions::Result result;
-        result.ending = decisions::Ending::delivered;
-        facade.report(*call, result);
+        if (facade.submit(message).kind != decisions::SubmissionResult::Kind::accepted) continue;
+        while (facade.attemptsInFlight() == 0) facade.tick();
+        const auto call = facade.takeDueAttempt();
+        if (!call || !facade.tryBeginAttempt(*call)) return {};
+        decisions::AttemptResult result;
+        result.status = decisions::AttemptStatus::delivered;
+        facade.recordResult(*call, result);
         took.push_back(seconds(Steady::now() - at));
     }
     Cost cost;
--- a/lab/model/day.cpp
+++ b/lab/model/day.cpp
@@ -16,7 +16,7 @@
 #include <unordered_map>
 
 #include "config/config.hpp"
-#include "decisions/limits.hpp"
+#include "decisions/retry_after.hpp"
 #include "delivery/idle.hpp"
 #include "stoathub/stoathub.hpp"
 
@@ -408,7 +408,7 @@
         };
         if (sender.held >= fleet_.senders.held) {
             ++day_.heldFull;
-            return again(m, heed(decisions::kFullAfter));
+            return again(m, heed(decisions::kRetryAfterWhenFull));
         }
         const auto h = static_cast<Handle>(handIns_.size());
         handIns_.push_back({});
@@ -428,7 +428,8 @@
         const auto verdict = turn(s, {std::move(handed)}, h);
         if (sink_) arrived(h, verdict);
         if (verdict.refused)
-            again(m, heed(verdict.after > Instant{} ? verdict.after : Instant(decisions::kFullAfter)));
+            again(m,
+                  heed(verdict.after > Instant{} ? verdict.after : Instant(decisions::kRetryAfterWhenFull)));
         else if (verdict.failed) messages_[m].ended = true, ++day_.failed;
         else ++day_.taken;
     }
--- a/src/decisions/decisions.cpp
+++ b/src/decisions/decisions.cpp
@@ -5,8 +5,8 @@
 #include <set>
 #include <string_view>
 
-#include "decisions/found_messages.hpp"
-#include "decisions/limits.hpp"
+#include "decisions/recovered_messages.hpp"
+#include "decisions/retry_after.hpp"
 #include "log/log.hpp"
 #include "metrics/metrics.hpp"
 #include "stoathub/stoathub.hpp"
@@ -27,40 +27,40 @@
 constexpr milliseconds kTellUnrecorded{150};  // an end that the store can't write is told so long after it
 constexpr std::chrono::seconds kDestinations{60};  // so long a destination without endpoints stays one
 
-stoathub::Time moduleTime(Moment at) {
+stoathub::Time moduleTime(TimePoint at) {
     return stoathub::Time(std::chrono::duration_cast<stoathub::Duration>(at.time_since_epoch()));
 }
-Moment moment(stoathub::Time at) {
-    return Moment(std::chrono::duration_cast<Steady::duration>(at.time_since_epoch()));
+TimePoint moment(stoathub::Time at) {
+    return TimePoint(std::chrono::duration_cast<Steady::duration>(at.time_since_epoch()));
 }
 milliseconds wholeMs(stoathub::Duration span) { return std::chrono::ceil<milliseconds>(span); }
 
-stoathub::Result moduleResult(Ending ending) {
-    switch (ending) {
-        case Ending::delivered: return stoathub::Result::delivered;
-        case Ending::error: return stoathub::Result::error;
-        case Ending::turnedAway: return stoathub::Result::rejected;
-        case Ending::timedOut: return stoathub::Result::timeout;
-        case Ending::noConnection: return stoathub::Result::connectFailed;
-        case Ending::reset: return stoathub::Result::reset;
-        case Ending::cancelled: return stoathub::Result::cancelled;
-        case Ending::unsent: return stoathub::Result::unsent;
-        case Ending::notSent: break;
+stoathub::Result moduleResult(AttemptStatus status) {
+    switch (status) {
+        case AttemptStatus::delivered: return stoathub::Result::delivered;
+        case AttemptStatus::error: return stoathub::Result::error;
+        case AttemptStatus::rejected: return stoathub::Result::rejected;
+        case AttemptStatus::timedOut: return stoathub::Result::timeout;
+        case AttemptStatus::noConnection: return stoathub::Result::connectFailed;
+        case AttemptStatus::reset: return stoathub::Result::reset;
+        case AttemptStatus::cancelled: return stoathub::Result::cancelled;
+        case AttemptStatus::unsent: return stoathub::Result::unsent;
+        case AttemptStatus::notForwarded: break;
     }
     return stoathub::Result::notForwarded;
 }
 
-bool mayHaveRun(Ending ending) {
-    return ending == Ending::error || ending == Ending::timedOut || ending == Ending::reset ||
-           ending == Ending::cancelled;
+bool mayHaveRun(AttemptStatus status) {
+    return status == AttemptStatus::error || status == AttemptStatus::timedOut ||
+           status == AttemptStatus::reset || status == AttemptStatus::cancelled;
 }
 
-bool failed(Ending ending) { return mayHaveRun(ending) || ending == Ending::noConnection; }
+bool failed(AttemptStatus status) { return mayHaveRun(status) || status == AttemptStatus::noConnection; }
 
-Verdict refused(std::string_view reason, milliseconds after) {
+SubmissionResult refused(std::string_view reason, milliseconds after) {
     metrics::counter("refusals_total", "reason", reason).add();
     log::debug() << "refused: " << reason;
-    return {Verdict::Kind::refused, after};
+    return {SubmissionResult::Kind::refused, after};
 }
 
 /// A line for each that may have run, as its repeats have to keep rules over several lives; the others are
@@ -82,11 +82,11 @@
 
 }  // namespace
 
-std::string_view name(Ending ending) {
+std::string_view name(AttemptStatus status) {
     static constexpr std::array<std::string_view, 9> kNames{"delivered", "error",         "turned_away",
                                                             "timed_out", "no_connection", "reset",
                                                             "cancelled", "not_sent",      "unsent"};
-    return kNames[static_cast<std::size_t>(ending)];
+    return kNames[static_cast<std::size_t>(status)];
 }
 
 Decisions::Decisions(const config::Config& config, store::Store& store, Hooks hooks,
@@ -100,27 +100,28 @@
 
 // ---- pick ----
 
-std::optional<Call> Decisions::pick() {
+std::optional<DueAttempt> Decisions::takeDueAttempt() {
     std::unique_lock lock(mutex_);
     due_.wait(lock, [this] { return !picking_ || !calls_.empty(); });
     if (!picking_) return {};
-    Call call = std::move(calls_.front());
+    DueAttempt call = std::move(calls_.front());
     calls_.pop_front();
     return call;
 }
 
-rules::Attempt Decisions::attemptOf(const Call& call) const {
-    return {call.id, call.endpoint, call.address, call.destination, call.attempt + 1, call.until, call.goBy};
+rules::Attempt Decisions::attemptOf(const DueAttempt& call) const {
+    return {call.id,          call.endpoint, call.address, call.destination,
+            call.attempt + 1, call.tryUntil, call.startBy};
 }
 
-bool Decisions::holds(const Held& held, const Call& call) const {
+bool Decisions::holds(const Held& held, const DueAttempt& call) const {
     return !held.over && held.out && held.attempts == call.attempt + 1 && !held.cancel.stop_requested();
 }
 
 // Between the decision and the first byte lies a connect of up to a second. Meanwhile the partner may have
 // told another call to wait, the endpoint may be draining or gone, or the message over. Danger: the receivers
 // may forget its key meanwhile, and a repeat would take effect twice.
-bool Decisions::begin(const Call& call) {
+bool Decisions::tryBeginAttempt(const DueAttempt& call) {
     const std::lock_guard lock(mutex_);
     if (stopped_ || !picking_) return false;
     const auto it = held_.find(call.id);
@@ -148,7 +149,7 @@
 }
 
 /// Repeats over a restart are told at level info, as they have to keep rules over several lives.
-void Decisions::logBegun(const Held& held, const Call& call) {
+void Decisions::logBegun(const Held& held, const DueAttempt& call) {
     const char* kind = held.mayHaveRunSince ? "repeat" : call.attempt > 0 ? "retry" : "first";
     metrics::counter("attempts_total", "kind", kind).add();
     auto line = held.found && held.mayHaveRunSince ? log::info() : log::debug();
@@ -162,9 +163,11 @@
         line.kv("may_have_run_ms_ago", (Steady::now() - *held.mayHaveRunSince) / milliseconds(1));
 }
 
-void Decisions::sent(const Call& call, Moment firstByteAt) { sendRules_.sent(attemptOf(call), firstByteAt); }
+void Decisions::recordSent(const DueAttempt& call, TimePoint firstByteAt) {
+    sendRules_.sent(attemptOf(call), firstByteAt);
+}
 
-void Decisions::neverLeft(const Call& call) {
+void Decisions::attemptNotSent(const DueAttempt& call) {
     const std::lock_guard lock(mutex_);
     const auto it = held_.find(call.id);
     if (it == held_.end() || !it->second.attempt || it->second.attempts != call.attempt + 1) return;
@@ -180,7 +183,7 @@
 
 // ---- report ----
 
-Verdict Decisions::report(const HandIn& message) {
+SubmissionResult Decisions::submit(const Submission& message) {
     const std::lock_guard lock(mutex_);
     const auto verdict = decide(message);
     static constexpr std::array<std::string_view, 4> kKinds{"taken", "refused", "failed", "conflict"};
@@ -189,40 +192,41 @@
         .kv("id", message.id)
         .kv("destination", message.destination)
         .kv("verdict", kind)
-        .kv("after_ms", verdict.after.count());
+        .kv("after_ms", verdict.retryAfter.count());
     metrics::counter("messages_total", "verdict", kind).add();
-    if (hooks_.arrived) hooks_.arrived(message, verdict);
+    if (hooks_.messageSubmitted) hooks_.messageSubmitted(message, verdict);
     return verdict;
 }
 
-Verdict Decisions::decide(const HandIn& message) {
-    using Kind = Verdict::Kind;
+SubmissionResult Decisions::decide(const Submission& message) {
+    using Kind = SubmissionResult::Kind;
     const auto now = Steady::now();
-    if (stopped_) return refused("stopping", kFullAfter);
+    if (stopped_) return refused("stopping", kRetryAfterWhenFull);
     if (const auto it = held_.find(message.id); it != held_.end()) {
         // Danger: the id may come with another message, and either of the two first. Whoever is told that a
         // message was taken on must be owed that very one; what is held goes on undisturbed.
         const auto& in = it->second.in;
         const bool same = in.key == message.key && in.destination == message.destination &&
-                          in.grade == message.grade && *in.body == *message.body;
+                          in.messageClass == message.messageClass && *in.body == *message.body;
         if (!same || it->second.over) return {Kind::conflict, {}};
         ++it->second.handIns;
-        return {Kind::taken, {}, true};  // the same request once more, on a new connection
+        return {Kind::accepted, {}, true};  // the same request once more, on a new connection
     }
     if (message.deadline <= now) return refused("late", {});
     // Danger: a message for no destination would be held in vain, and one entry for each number that anybody
     // makes up would stay in the tables. The list comes seconds late, so the client may try again.
     forget(now);
-    if (!destinations_.count(message.destination)) return refused("unknown_destination", kUnknownAfter);
+    if (!destinations_.count(message.destination))
+        return refused("unknown_destination", kRetryAfterUnknownDestination);
     if (held_.size() >= static_cast<std::size_t>(config_.settings.maxHeld))
-        return refused("held_full", kFullAfter);
+        return refused("held_full", kRetryAfterWhenFull);
     store::StoredMessage record;
     record.id = message.id;
     record.key = message.key;
     record.destination = message.destination;
-    record.messageClass = config_.classes[message.grade];
+    record.messageClass = config_.classes[message.messageClass];
     if (message.tenant < config_.tenants.size()) record.tenant = config_.tenants[message.tenant];
-    record.effect = static_cast<int>(config_.settings.messageClasses[message.grade].effect);
+    record.effect = static_cast<int>(config_.settings.messageClasses[message.messageClass].effect);
     record.deadline =
         recordClock_.now() + std::chrono::duration_cast<milliseconds>(message.deadline - now).count();
     record.body = message.body;
@@ -232,24 +236,25 @@
         if (noRoom_) log::warning() << "no room in the store at " << held_.size() << " messages held";
         else log::info() << "room in the store again at " << held_.size() << " messages held";
     }
-    if (!stored) return refused("store", kFullAfter);
+    if (!stored) return refused("store", kRetryAfterWhenFull);
     hold(message);
-    if (destinations_[message.destination].serving == 0 && hooks_.wanted) hooks_.wanted(message.destination);
+    if (destinations_[message.destination].serving == 0 && hooks_.endpointNeeded)
+        hooks_.endpointNeeded(message.destination);
     stoathub::MessageAccepted handed;
     handed.id = message.id;
     handed.destination = message.destination;
-    handed.messageClass = static_cast<int>(message.grade);
+    handed.messageClass = static_cast<int>(message.messageClass);
     handed.timeLeft = message.deadline - now;
-    Verdict verdict;
+    SubmissionResult verdict;
     turn({{std::move(handed)}}, &verdict, &message.id);
     return verdict;
 }
 
-void Decisions::report(const Call& call, const Result& result) {
+void Decisions::recordResult(const DueAttempt& call, const AttemptResult& result) {
     // Danger: where the processor is short the facade's lock may be long in coming, and others begin calls
     // meanwhile. What a partner has told holds from now on, not from when there is time for it.
     const auto heardAt = Steady::now();
-    if (result.ending == Ending::turnedAway && result.wait.count() > 0)
+    if (result.status == AttemptStatus::rejected && result.wait.count() > 0)
         sendRules_.tellWait(call.destination,
                             heardAt + std::chrono::duration_cast<Steady::duration>(result.wait), heardAt);
     const std::lock_guard lock(mutex_);
@@ -259,30 +264,30 @@
     Held& held = it->second;
     --out_;
     held.out = false;
-    if (result.ending == Ending::unsent) --held.attempts;
-    const bool over = result.over || result.ending == Ending::delivered;
+    if (result.status == AttemptStatus::unsent) --held.attempts;
+    const bool over = result.messageFinished || result.status == AttemptStatus::delivered;
     // Danger: an answer may be heard in the moment of a stop. Off the record, the next life would repeat what
     // was delivered, and give up for nothing what surely never ran. What the stop itself called off has no
     // outcome.
-    const bool unheard = stopped_ && result.ending == Ending::cancelled;
+    const bool unheard = stopped_ && result.status == AttemptStatus::cancelled;
     const auto attempt = std::exchange(held.attempt, std::nullopt);
     if (over && !held.over) recorder_.done(call.id);
     else if (!held.over && !unheard)
-        recorder_.outcome(call.id, attempt, {mayHaveRun(result.ending), failed(result.ending)});
-    if (mayHaveRun(result.ending) && !held.mayHaveRunSince) held.mayHaveRunSince = call.issued;
+        recorder_.outcome(call.id, attempt, {mayHaveRun(result.status), failed(result.status)});
+    if (mayHaveRun(result.status) && !held.mayHaveRunSince) held.mayHaveRunSince = call.issuedAt;
     if (stopped_) {  // nothing is decided any more
         if (over || held.over) release(call.id);
         return;
     }
     const auto now = Steady::now();
-    metrics::counter("calls_total", "ending", name(result.ending)).add();
-    if (hooks_.answered) hooks_.answered(call, result, now - call.issued);
+    metrics::counter("calls_total", "ending", name(result.status)).add();
+    if (hooks_.attemptFinished) hooks_.attemptFinished(call, result, now - call.issuedAt);
     stoathub::Outcome outcome;
     outcome.id = call.id;
     outcome.endpoint = call.endpoint;
     outcome.attempt = call.attempt;
-    outcome.result = moduleResult(result.ending);
-    outcome.took = now - call.issued;
+    outcome.result = moduleResult(result.status);
+    outcome.took = now - call.issuedAt;
     outcome.retryAfter = result.wait;
     outcome.concluded = over;
     outcome.stale = result.stale;
@@ -292,7 +297,7 @@
     turn({{std::move(outcome)}});
 }
 
-void Decisions::report(const listing::Listing& list, bool saved) {
+void Decisions::updateEndpoints(const listing::Listing& list, bool saved) {
     // As for waits: what drains or goes gets nothing more, whoever holds the lock.
     const auto heardAt = Steady::now();
     for (const auto& e : list.endpoints)
@@ -336,7 +341,7 @@
 }
 
 /// The one place where the tables of endpoints and destinations change; `seen` is null for one that is gone.
-void Decisions::setEndpoint(const std::string& name, const rules::Endpoint* seen, Moment now) {
+void Decisions::setEndpoint(const std::string& name, const rules::Endpoint* seen, TimePoint now) {
     const auto it = endpoints_.find(name);
     const bool had = it != endpoints_.end();
     if (!seen) sendRules_.removeEndpoint(name, now);
@@ -344,7 +349,7 @@
     if (seen) sendRules_.setEndpoint(name, *seen);
     // Nothing more goes there: its connections are of no use.
     const bool same = had && seen && seen->serving && it->second.address == seen->address;
-    if (had && !same && hooks_.closeIdle) hooks_.closeIdle(name);
+    if (had && !same && hooks_.closeIdleConnections) hooks_.closeIdleConnections(name);
     if (had) {
         Group& group = destinations_[it->second.destination];
         group.serving -= it->second.serving;
@@ -360,7 +365,7 @@
     }
 }
 
-Decisions::Held& Decisions::hold(const HandIn& message) {
+Decisions::Held& Decisions::hold(const Submission& message) {
     Held& held = held_[message.id];
     held.in = message;
     ++destinations_[message.destination].held;
@@ -374,31 +379,31 @@
     held_.erase(it);
 }
 
-void Decisions::report(const std::vector<Standing>& standings) {
+void Decisions::updateDestinationHealth(const std::vector<DestinationHealth>& standings) {
     const std::lock_guard lock(mutex_);
     if (stopped_ || standings.empty()) return;
     Events events;
     for (const auto& s : standings) {
-        stoathub::DestinationHealth event{s.destination, s.down, {}, s.told, s.doubted, s.probed};
-        if (s.sinceCold) event.sinceRecovery = *s.sinceCold;
+        stoathub::DestinationHealth event{s.destination, s.down, {}, s.rateLimit, s.unconfirmed, s.probed};
+        if (s.sinceRecovery) event.sinceRecovery = *s.sinceRecovery;
         events.all.push_back(std::move(event));
     }
     turn(events);
 }
 
-std::vector<Standing> Decisions::standings() const {
+std::vector<DestinationHealth> Decisions::destinationHealth() const {
     const std::lock_guard lock(mutex_);
-    std::vector<Standing> all;
+    std::vector<DestinationHealth> all;
     for (const auto& s : sender_.destinationHealth()) {
         all.push_back({s.destination, s.down, {}, s.rateLimit, s.unconfirmed, false});
-        if (s.sinceRecovery) all.back().sinceCold = wholeMs(*s.sinceRecovery);
+        if (s.sinceRecovery) all.back().sinceRecovery = wholeMs(*s.sinceRecovery);
     }
     return all;
 }
 
-Decisions::Demand Decisions::demand(std::uint64_t destination) const {
+Decisions::PendingLoad Decisions::pendingLoad(std::uint64_t destination) const {
     const std::lock_guard lock(mutex_);
-    Demand found;
+    PendingLoad found;
     if (const auto it = destinations_.find(destination); it != destinations_.end())
         found.held = it->second.held;
     found.waitUntil = sendRules_.waitUntil(destination);
@@ -407,7 +412,7 @@
 
 // Danger: whoever tells the platform of ends must not stand behind the facade's lock: the next end may have
 // little time left.
-void Decisions::report(const std::vector<std::string>& noticed) {
+void Decisions::acknowledgeNotices(const std::vector<std::string>& noticed) {
     {
         const std::lock_guard lock(noticedMutex_);
         noticed_.insert(noticed_.end(), noticed.begin(), noticed.end());
@@ -481,8 +486,9 @@
         const auto now = Steady::now();
         const bool behind = !recorder_.flush();
         tellEnds(false);
-        const auto next = std::min(wakeAt_.value_or(Moment::max()), behind ? now + kFlush : Moment::max());
-        if (next == Moment::max()) {
+        const auto next =
+            std::min(wakeAt_.value_or(TimePoint::max()), behind ? now + kFlush : TimePoint::max());
+        if (next == TimePoint::max()) {
             wake_.wait(lock);
         } else if (now < next) {
             wake_.wait_until(lock, next);
@@ -500,7 +506,7 @@
 
 // The module waits for one time: it asks for a sooner one, or anew once the last has passed, and so each
 // takes the place of the one before. Keeping them all would turn the module for nothing.
-void Decisions::wakeAt(Moment at) {
+void Decisions::wakeAt(TimePoint at) {
     const bool sooner = !wakeAt_ || at < *wakeAt_;
     wakeAt_ = at;
     if (sooner) wake_.notify_one();
@@ -508,7 +514,7 @@
 
 // Danger: destinations come and go for as long as the process lives. What has long been unlisted, and waits
 // that are over, are not kept.
-void Decisions::forget(Moment now) {
+void Decisions::forget(TimePoint now) {
     std::erase_if(unlisted_, [&](const auto& entry) {
         const auto it = destinations_.find(entry.first);
         if (it != destinations_.end() && (it->second.held > 0 || now - entry.second < kDestinations))
@@ -519,7 +525,7 @@
     sendRules_.forget(now);
 }
 
-void Decisions::turn(const Events& events, Verdict* own, const std::string* ownId) {
+void Decisions::turn(const Events& events, SubmissionResult* own, const std::string* ownId) {
     const auto now = Steady::now();
     for (const auto& action : sender_.turn(moduleTime(now), events.all)) {
         if (const auto* send = std::get_if<stoathub::Send>(&action)) {
@@ -539,7 +545,7 @@
         } else if (const auto* refuse = std::get_if<stoathub::Refuse>(&action)) {
             const auto after = wholeMs(refuse->retryIn);
             if (own && refuse->id == *ownId) {
-                *own = refused("module", after.count() > 0 ? after : kFullAfter);
+                *own = refused("module", after.count() > 0 ? after : kRetryAfterWhenFull);
                 recorder_.done(refuse->id);
                 release(refuse->id);
             } else {
@@ -547,7 +553,7 @@
             }
         } else if (const auto* fail = std::get_if<stoathub::Fail>(&action)) {
             if (own && fail->id == *ownId) {
-                *own = {Verdict::Kind::failed, {}};
+                *own = {SubmissionResult::Kind::failed, {}};
                 recorder_.done(fail->id);
                 release(fail->id);
             } else {
@@ -560,7 +566,7 @@
         } else if (const auto* wake = std::get_if<stoathub::SetTimer>(&action)) {
             wakeAt(now + std::chrono::duration_cast<Steady::duration>(wake->after));
         } else if (const auto* close = std::get_if<stoathub::CloseIdleConnections>(&action)) {
-            if (hooks_.closeIdle) hooks_.closeIdle(close->endpoint);
+            if (hooks_.closeIdleConnections) hooks_.closeIdleConnections(close->endpoint);
         }
         // Follow has no place on sockets: the watch always runs.
     }
@@ -596,11 +602,11 @@
         (log::debug() << "end handed to the notices")
             .kv("id", notice.id)
             .kv("recorded", recorded ? "yes" : "no");
-        if (hooks_.ended) hooks_.ended(notice);
+        if (hooks_.messageEnded) hooks_.messageEnded(notice);
     }
 }
 
-void Decisions::stopPicking() {
+void Decisions::stopDispatching() {
     const std::lock_guard lock(mutex_);
     dropDue();
     due_.notify_all();
@@ -637,22 +643,22 @@
     return recorder_.flush();
 }
 
-Decisions::Counts Decisions::counts() const {
+Decisions::TableSizes Decisions::tableSizes() const {
     const std::lock_guard lock(mutex_);
     return {held_.size(), endpoints_.size(), destinations_.size(), sendRules_.waits()};
 }
-std::vector<Decisions::Balance> Decisions::balances() const {
+std::vector<Decisions::RetryBucketState> Decisions::retryBucketStates() const {
     const std::lock_guard lock(mutex_);
-    std::vector<Balance> all;
+    std::vector<RetryBucketState> all;
     for (const auto& b : sender_.retryBuckets())
         all.push_back({b.destination, b.tokens, b.capacity, b.gained, b.spent});
     return all;
 }
-std::size_t Decisions::held() const {
+std::size_t Decisions::heldMessages() const {
     const std::lock_guard lock(mutex_);
     return held_.size();
 }
-std::size_t Decisions::out() const {
+std::size_t Decisions::attemptsInFlight() const {
     const std::lock_guard lock(mutex_);
     return out_;
 }
--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -26,78 +26,79 @@
 namespace laurelhaven::decisions {
 
 using Steady = std::chrono::steady_clock;
-using Moment = Steady::time_point;
+using TimePoint = Steady::time_point;
 
 /// A message as a front hands it in.
-struct HandIn {
+struct Submission {
     std::string id, key;
     std::uint64_t destination = 0;
-    std::uint32_t grade = 0, tenant = 0;  ///< positions in the settings
-    Moment deadline;                      ///< when its client gives it up
+    std::uint32_t messageClass = 0, tenant = 0;  ///< positions in the settings
+    TimePoint deadline;                          ///< when its client gives it up
     std::shared_ptr<const std::string> body;
 };
 
 /// What becomes of a hand-in. Only `taken` leaves anything owed.
-struct Verdict {
-    enum class Kind { taken, refused, failed, conflict };  ///< conflict: the id is another message's
-    Kind kind = Kind::taken;
-    std::chrono::milliseconds after{};  ///< for refused: come again after so long
-    bool before = false;                ///< for taken: it was taken already, from an earlier hand-in
+struct SubmissionResult {
+    enum class Kind { accepted, refused, failed, conflict };  ///< conflict: the id is another message's
+    Kind kind = Kind::accepted;
+    std::chrono::milliseconds retryAfter{};  ///< for refused: come again after so long
+    bool duplicate = false;                  ///< for taken: it was taken already, from an earlier hand-in
 };
 
 /// One call that is due.
-struct Call {
+struct DueAttempt {
     std::string id, key;
     std::shared_ptr<const std::string> body;
     std::string endpoint, address;
     std::uint64_t destination = 0;
     int attempt = 0;
-    Moment issued, until;  ///< given up then
-    Moment goBy;           ///< and not begun any more after this
-    std::stop_token calledOff;
+    TimePoint issuedAt, tryUntil;  ///< given up then
+    TimePoint startBy;             ///< and not begun any more after this
+    std::stop_token cancelToken;
 };
 
-enum class Ending {
+enum class AttemptStatus {
     delivered,
-    error,       ///< answered with an error: it may have run
-    turnedAway,  ///< unseen
-    timedOut,    ///< it may have run
+    error,     ///< answered with an error: it may have run
+    rejected,  ///< unseen
+    timedOut,  ///< it may have run
     noConnection,
     reset,  ///< the connection broke after the last byte: it may have run
     cancelled,
-    notSent,  ///< the endpoint's machine says that it did not pass it on
-    unsent    ///< no byte of it was written: no attempt was made
+    notForwarded,  ///< the endpoint's machine says that it did not pass it on
+    unsent         ///< no byte of it was written: no attempt was made
 };
-std::string_view name(Ending ending);
-struct Result {
-    Ending ending = Ending::unsent;
-    bool over = false;  ///< nothing more is owed for the message
+std::string_view name(AttemptStatus status);
+struct AttemptResult {
+    AttemptStatus status = AttemptStatus::unsent;
+    bool messageFinished = false;  ///< nothing more is owed for the message
     std::chrono::nanoseconds wait{};
     std::optional<double> allowanceLeft, allowedRate;
-    bool foreign = false;  ///< answered as by one that does not know such messages
-    bool stale = false;    ///< a kept connection broke as soon as it was used
+    bool unexpectedServer = false;  ///< answered as by one that does not know such messages
+    bool stale = false;             ///< a kept connection broke as soon as it was used
 };
 
 /// What is known of a destination beyond the list: see stoathub::DestinationHealth.
-struct Standing {
+struct DestinationHealth {
     std::uint64_t destination = 0;
     bool down = false;
-    std::optional<std::chrono::milliseconds> sinceCold;
-    double told = 0;  ///< calls a second; 0: not known
-    bool doubted = false;
+    std::optional<std::chrono::milliseconds> sinceRecovery;
+    double rateLimit = 0;  ///< calls a second; 0: not known
+    bool unconfirmed = false;
     bool probed = false;
 };
 
 /// All are called with the facade's lock held, and must not call back into it.
 struct Hooks {
-    std::function<void(const store::PendingNotice&)> ended;
-    std::function<void(const std::string& endpoint)> closeIdle;
+    std::function<void(const store::PendingNotice&)> messageEnded;
+    std::function<void(const std::string& endpoint)> closeIdleConnections;
     /// A call ended: evidence of what is at the endpoint's address.
-    std::function<void(const Call&, const Result&, std::chrono::nanoseconds took)> answered = {};
+    std::function<void(const DueAttempt&, const AttemptResult&, std::chrono::nanoseconds took)>
+        attemptFinished = {};
     /// A message was taken for a destination of which no endpoint may be sent to just now.
-    std::function<void(std::uint64_t destination)> wanted = {};
+    std::function<void(std::uint64_t destination)> endpointNeeded = {};
     /// A message was handed in, and what became of that.
-    std::function<void(const HandIn&, const Verdict&)> arrived = {};
+    std::function<void(const Submission&, const SubmissionResult&)> messageSubmitted = {};
 };
 
 class Decisions {
@@ -107,21 +108,21 @@
               clock::RecordClock& recordClock = clock::ofProcess());
 
     /// Blocks until a call is due. Nothing once picking has stopped.
-    std::optional<Call> pick();
+    std::optional<DueAttempt> takeDueAttempt();
     /// Asked just before the call's first byte: does it still hold? If so the attempt is on record.
-    bool begin(const Call& call);
+    bool tryBeginAttempt(const DueAttempt& call);
     /// It has been written, its first byte at that moment: the attempt is held against the rules.
-    void sent(const Call& call, Moment firstByteAt);
+    void recordSent(const DueAttempt& call, TimePoint firstByteAt);
 
-    Verdict report(const HandIn& message);
+    SubmissionResult submit(const Submission& message);
     /// Put on record also once stopped: a later life must know what was heard.
-    void report(const Call& call, const Result& result);
+    void recordResult(const DueAttempt& call, const AttemptResult& result);
     /// The call that has begun did not leave, and is to begin once more: no attempt has been made yet.
-    void neverLeft(const Call& call);
-    void report(const listing::Listing& list, bool saved = false);
-    void report(const std::vector<Standing>& standings);
+    void attemptNotSent(const DueAttempt& call);
+    void updateEndpoints(const listing::Listing& list, bool saved = false);
+    void updateDestinationHealth(const std::vector<DestinationHealth>& standings);
     /// The platform knows these ends. Never waits: they are put on record with the next turn.
-    void report(const std::vector<std::string>& noticed);
+    void acknowledgeNotices(const std::vector<std::string>& noticed);
     /// A client left before it heard that its message was taken: one of the hand-ins that were told so.
     void withdraw(const std::string& id);
     /// What an earlier life left unfinished. Up to `healthKnownUntil` what that life had learnt of its
@@ -131,43 +132,43 @@
                         store::RecordMs healthKnownUntil = 0);
 
     /// What a later life ought to know, and which waits are on: of the destinations that stand out.
-    std::vector<Standing> standings() const;
+    std::vector<DestinationHealth> destinationHealth() const;
     /// How much waits for a destination, and until when nothing may go there.
-    struct Demand {
+    struct PendingLoad {
         std::size_t held = 0;
-        Moment waitUntil{};
+        TimePoint waitUntil{};
     };
-    Demand demand(std::uint64_t destination) const;
+    PendingLoad pendingLoad(std::uint64_t destination) const;
 
-    struct Counts {  ///< entries, table by table
+    struct TableSizes {  ///< entries, table by table
         std::size_t held = 0, endpoints = 0, destinations = 0, waits = 0;
     };
-    Counts counts() const;
+    TableSizes tableSizes() const;
     /// Rules that were seen broken.
     const rules::Violations& violations() const { return violations_; }
 
     /// A destination's retry bucket: see stoathub::RetryBucketState.
-    struct Balance {
+    struct RetryBucketState {
         std::uint64_t destination = 0;
         double tokens = 0, capacity = 0, gained = 0, spent = 0;
     };
-    std::vector<Balance> balances() const;
+    std::vector<RetryBucketState> retryBucketStates() const;
 
     /// Blocks until the module wants to be woken, and turns it. False once stopped.
     bool tick();
 
     /// No call is given out any more.
-    void stopPicking();
+    void stopDispatching();
     /// Nothing is decided or recorded any more: calls still out stay so in the store, as for a crash.
     void stop();
     /// Tries once more to write what the store could not. True when nothing is left to write.
     bool flushRecords();
-    std::size_t held() const;
-    std::size_t out() const;
+    std::size_t heldMessages() const;
+    std::size_t attemptsInFlight() const;
 
   private:
     struct Held {
-        HandIn in;
+        Submission in;
         int attempts = 0;  // as the module counts them
         bool out = false;  // a call is with a worker
         std::optional<store::AttemptNumber>
@@ -175,7 +176,7 @@
         bool over = false;
         bool found = false;  // on record at the start: its time may have passed while nothing ran
         int handIns = 1;     // that were told, or are just being told, that it is taken
-        std::optional<Moment> mayHaveRunSince;  // when the first attempt that may have run was sent
+        std::optional<TimePoint> mayHaveRunSince;  // when the first attempt that may have run was sent
         std::stop_source cancel;
     };
     struct Group {                    // a destination
@@ -183,21 +184,22 @@
         std::size_t held = 0;         // messages
     };
 
-    Verdict decide(const HandIn& message);
-    void setEndpoint(const std::string& name, const rules::Endpoint* seen, Moment now);
-    Held& hold(const HandIn& message);
+    SubmissionResult decide(const Submission& message);
+    void setEndpoint(const std::string& name, const rules::Endpoint* seen, TimePoint now);
+    Held& hold(const Submission& message);
     void release(const std::string& id);
-    void turn(const struct Events& events, Verdict* own = nullptr, const std::string* ownId = nullptr);
+    void turn(const struct Events& events, SubmissionResult* own = nullptr,
+              const std::string* ownId = nullptr);
     void conclude(const std::string& id, const store::PendingNotice& notice);
-    bool holds(const Held& held, const Call& call) const;
-    rules::Attempt attemptOf(const Call& call) const;
-    static void logBegun(const Held& held, const Call& call);
+    bool holds(const Held& held, const DueAttempt& call) const;
+    rules::Attempt attemptOf(const DueAttempt& call) const;
+    static void logBegun(const Held& held, const DueAttempt& call);
     void takeBack(Held& held, const std::string& id);
     void recordNoticed();
     void tellEnds(bool all);
-    void forget(Moment now);
+    void forget(TimePoint now);
     void dropDue();
-    void wakeAt(Moment at);
+    void wakeAt(TimePoint at);
 
     const config::Config& config_;
     Hooks hooks_;
@@ -211,7 +213,7 @@
     /// Ends that are not on record yet, as the store is behind, and when they are told all the same.
     struct Untold {
         store::PendingNotice notice;
-        Moment tellBy;
+        TimePoint tellBy;
     };
     std::deque<Untold> untold_;
     std::mutex noticedMutex_;
@@ -219,9 +221,9 @@
     std::unordered_map<std::string, Held> held_;
     std::map<std::string, rules::Endpoint> endpoints_;
     std::unordered_map<std::uint64_t, Group> destinations_;
-    std::map<std::uint64_t, Moment> unlisted_;  // destinations left without endpoints, since when
-    std::deque<Call> calls_;                    // due, and not yet picked
-    std::optional<Moment> wakeAt_;              // as the module asked for last
+    std::map<std::uint64_t, TimePoint> unlisted_;  // destinations left without endpoints, since when
+    std::deque<DueAttempt> calls_;                 // due, and not yet picked
+    std::optional<TimePoint> wakeAt_;              // as the module asked for last
     std::size_t out_ = 0;
     bool picking_ = true, stopped_ = false;
     bool noRoom_ = false;  // the store took no message the last time
--- a/src/decisions/found_messages.cpp
+++ b/src/decisions/recovered_messages.cpp
@@ -1,4 +1,4 @@
-#include "decisions/found_messages.hpp"
+#include "decisions/recovered_messages.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/delivery/delivery.cpp
+++ b/src/delivery/delivery.cpp
@@ -10,9 +10,9 @@
 namespace laurelhaven::delivery {
 namespace {
 
-using decisions::Call;
-using decisions::Ending;
-using decisions::Result;
+using decisions::AttemptResult;
+using decisions::AttemptStatus;
+using decisions::DueAttempt;
 using std::chrono::milliseconds;
 
 // An answer comes in one piece, or nearly: what has not come so long after its first byte never will.
@@ -36,29 +36,29 @@
 
 }  // namespace
 
-Result meaning(const http::Message& answer) {
-    Result result;
+AttemptResult meaning(const http::Message& answer) {
+    AttemptResult result;
     const auto& headers = answer.headers;
     switch (answer.status) {
-        case 200: result.ending = Ending::delivered; break;
-        case 429: result.ending = Ending::turnedAway; break;
+        case 200: result.status = AttemptStatus::delivered; break;
+        case 429: result.status = AttemptStatus::rejected; break;
         case 503: {
             // All slots of this sender were taken: that says nothing about the partner.
             const auto* ours = headers.find("X-Egress-Full");
-            result.ending = ours && *ours == "1" ? Ending::notSent : Ending::turnedAway;
+            result.status = ours && *ours == "1" ? AttemptStatus::notForwarded : AttemptStatus::rejected;
             break;
         }
-        case 504: result.ending = Ending::notSent; break;
+        case 504: result.status = AttemptStatus::notForwarded; break;
         case 410:
-            result.ending = Ending::notSent;
-            result.over = true;
+            result.status = AttemptStatus::notForwarded;
+            result.messageFinished = true;
             break;
         default:
-            result.ending = Ending::error;
+            result.status = AttemptStatus::error;
             // One of ours never says that it does not know such a message: the address is somebody else's.
-            result.foreign = answer.status >= 400 && answer.status < 500 && answer.status != 408;
+            result.unexpectedServer = answer.status >= 400 && answer.status < 500 && answer.status != 408;
     }
-    if (result.ending == Ending::turnedAway) {
+    if (result.status == AttemptStatus::rejected) {
         if (const auto* wait = headers.find("Retry-After")) {
             const auto seconds = http::decimal(*wait);
             if (seconds)
@@ -86,9 +86,9 @@
     threads_.emplace_back("idle", [this] { idle_.expire(); });
     for (std::size_t i = 0; i < config::shares(config_).calls; ++i)
         threads_.emplace_back("call", [this] {
-            while (const auto call = decisions_.pick()) {
+            while (const auto call = decisions_.takeDueAttempt()) {
                 const auto begun = net::Steady::now();
-                const Result result = deliver(*call);
+                const AttemptResult result = deliver(*call);
                 const auto took =
                     std::chrono::duration_cast<milliseconds>(net::Steady::now() - begun).count();
                 (log::debug() << "call ended")
@@ -96,12 +96,12 @@
                     .kv("call", call->attempt + 1)
                     .kv("endpoint", call->endpoint)
                     .kv("destination", call->destination)
-                    .kv("ending", decisions::name(result.ending))
+                    .kv("ending", decisions::name(result.status))
                     .kv("wait_ms", result.wait.count() / 1000000)
                     .kv("left", result.allowanceLeft.value_or(-1))
                     .kv("limit", result.allowedRate.value_or(-1))
                     .kv("took_ms", took);
-                decisions_.report(*call, result);
+                decisions_.recordResult(*call, result);
             }
         });
 }
@@ -111,7 +111,7 @@
     threads_.clear();
 }
 
-Result Delivery::deliver(const Call& call) {
+AttemptResult Delivery::deliver(const DueAttempt& call) {
     const auto address = net::address(call.address);
     if (!address) return {};
     net::Fd fd = idle_.take(call.endpoint, call.address);
@@ -119,53 +119,56 @@
         const bool warm = static_cast<bool>(fd);
         bool keep = false;
         if (!warm) fd = net::tcpSocket();
-        if (!fd) return Result{Ending::unsent, false, {}, {}, {}};  // no descriptor is to be had
-        const Result result = attempt(call, *address, fd.get(), warm, keep);
+        if (!fd)
+            return AttemptResult{AttemptStatus::unsent, false, {}, {}, {}};  // no descriptor is to be had
+        const AttemptResult result = attempt(call, *address, fd.get(), warm, keep);
         // Only now, when no call-off can shut it any more, may another call have the connection.
         if (keep) idle_.give(call.endpoint, call.address, std::move(fd));
         fd.reset();
         // Before the last byte the endpoint has not begun: a warm connection found dead is no failure yet.
-        if (!warm || result.ending != Ending::noConnection || call.calledOff.stop_requested()) return result;
+        if (!warm || result.status != AttemptStatus::noConnection || call.cancelToken.stop_requested())
+            return result;
         // Danger: the new connection may take long, and a kill meanwhile would leave an attempt that never
         // left on record as one that may have run.
-        decisions_.neverLeft(call);
+        decisions_.attemptNotSent(call);
     }
 }
 
-Result Delivery::attempt(const Call& call, const net::Address& address, int fd, bool warm, bool& keep) {
-    const auto ended = [](Ending ending) { return Result{ending, false, {}, {}, {}}; };
-    if (call.calledOff.stop_requested()) return ended(Ending::unsent);
-    const auto until = std::min(call.until, net::Steady::now() + config_.settings.connectTimeout);
+AttemptResult Delivery::attempt(const DueAttempt& call, const net::Address& address, int fd, bool warm,
+                                bool& keep) {
+    const auto ended = [](AttemptStatus ending) { return AttemptResult{ending, false, {}, {}, {}}; };
+    if (call.cancelToken.stop_requested()) return ended(AttemptStatus::unsent);
+    const auto until = std::min(call.tryUntil, net::Steady::now() + config_.settings.connectTimeout);
     const auto start = warm ? net::ConnectStart::begun : net::beginConnect(fd, address);
     if (start == net::ConnectStart::local) {
         log::debug() << "call " << call.id << ": no connect can begin: " << std::strerror(errno);
-        return ended(Ending::unsent);
+        return ended(AttemptStatus::unsent);
     }
     const bool begun = start == net::ConnectStart::begun;
     // Danger: set up before the connect has begun, this would shut nothing, and a connect to a silent address
     // would outlast a planned stop.
-    const std::stop_callback shutIt(call.calledOff, [fd] { net::shut(fd); });
+    const std::stop_callback shutIt(call.cancelToken, [fd] { net::shut(fd); });
     if (!warm && !(begun && net::connected(fd, until)))
-        return ended(call.calledOff.stop_requested() ? Ending::unsent : Ending::noConnection);
+        return ended(call.cancelToken.stop_requested() ? AttemptStatus::unsent : AttemptStatus::noConnection);
     // What came meanwhile on a connection that stood idle belongs to an earlier call. Looked at before the
     // attempt is on record, or one that surely never left would be; and again after, as that may have taken
     // its time.
-    if (warm && !net::quiet(fd)) return ended(Ending::noConnection);
-    if (!decisions_.begin(call)) {
-        keep = !call.calledOff.stop_requested();
-        return ended(Ending::unsent);
+    if (warm && !net::quiet(fd)) return ended(AttemptStatus::noConnection);
+    if (!decisions_.tryBeginAttempt(call)) {
+        keep = !call.cancelToken.stop_requested();
+        return ended(AttemptStatus::unsent);
     }
-    if (warm && !net::quiet(fd)) return ended(Ending::noConnection);
-    const auto left = std::chrono::ceil<milliseconds>(call.until - net::Steady::now()).count();
+    if (warm && !net::quiet(fd)) return ended(AttemptStatus::noConnection);
+    const auto left = std::chrono::ceil<milliseconds>(call.tryUntil - net::Steady::now()).count();
     http::Fields fields{{"Req-Id", call.id}, {"Req-Deadline-Ms", std::to_string(std::max<long>(left, 1))}};
     if (!call.key.empty()) fields.emplace_back("Idempotency-Key", call.key);
     const auto bytes = http::request("POST", "/hook", call.address, fields, *call.body);
     const auto firstByteAt = net::Steady::now();
-    if (net::sendAll(fd, bytes, call.until) != net::Io::done) return ended(Ending::noConnection);
+    if (net::sendAll(fd, bytes, call.tryUntil) != net::Io::done) return ended(AttemptStatus::noConnection);
     const auto sentAt = net::Steady::now();
-    decisions_.sent(call, firstByteAt);
+    decisions_.recordSent(call, firstByteAt);
     auto result = answer(call, fd, keep);
-    result.stale = warm && result.ending == Ending::reset && net::Steady::now() - sentAt < kCrossed;
+    result.stale = warm && result.status == AttemptStatus::reset && net::Steady::now() - sentAt < kCrossed;
     return result;
 }
 
@@ -173,10 +176,10 @@
 // fit, a body that keeps coming. The request has run then, and the connection, open as it may be, would give
 // the next call the rest of this answer. So: what has begun must end soon, in few bytes; where it does not,
 // the first line decides alone, and the connection goes. A 200 there is a delivery whatever follows it.
-Result Delivery::answer(const Call& call, int fd, bool& keep) {
+AttemptResult Delivery::answer(const DueAttempt& call, int fd, bool& keep) {
     using State = http::Parser::State;
     http::Parser parser(http::Parser::Role::response);
-    auto until = call.until;
+    auto until = call.tryUntil;
     auto io = net::Io::done;
     std::size_t bytes = 0;
     bool begun = false;
@@ -190,19 +193,19 @@
         while (parser.state() == State::complete && parser.message().status < 200) parser.next();
         if (!begun && parser.begun()) until = std::min(until, net::Steady::now() + kRest);
         begun = parser.begun();
-        if (!begun) until = call.until;
+        if (!begun) until = call.tryUntil;
     }
-    const auto ended = [](Ending ending) { return Result{ending, false, {}, {}, {}}; };
+    const auto ended = [](AttemptStatus ending) { return AttemptResult{ending, false, {}, {}, {}}; };
     keep = parser.state() == State::complete && parser.message().keepsAlive() && parser.leftover() == 0;
     // A body without a length, or one that would go on to the connection's end: the head is all that counts.
     if (parser.state() == State::complete || parser.finish() == State::complete)
         return meaning(parser.message());
-    if (parser.message().status == 200) return ended(Ending::delivered);
-    if (call.calledOff.stop_requested()) return ended(Ending::cancelled);
-    if (!begun) return ended(io == net::Io::timedOut ? Ending::timedOut : Ending::reset);
-    if (io == net::Io::closed || io == net::Io::broken) return ended(Ending::reset);
+    if (parser.message().status == 200) return ended(AttemptStatus::delivered);
+    if (call.cancelToken.stop_requested()) return ended(AttemptStatus::cancelled);
+    if (!begun) return ended(io == net::Io::timedOut ? AttemptStatus::timedOut : AttemptStatus::reset);
+    if (io == net::Io::closed || io == net::Io::broken) return ended(AttemptStatus::reset);
     log::info() << "an answer of " << call.endpoint << " can't be read";
-    return ended(Ending::error);
+    return ended(AttemptStatus::error);
 }
 
 }  // namespace laurelhaven::delivery
--- a/src/delivery/delivery.hpp
+++ b/src/delivery/delivery.hpp
@@ -12,7 +12,7 @@
 namespace laurelhaven::delivery {
 
 /// What an endpoint's answer means, by the protocol's table.
-decisions::Result meaning(const http::Message& answer);
+decisions::AttemptResult meaning(const http::Message& answer);
 
 class Delivery {
   public:
@@ -24,10 +24,10 @@
     void closeIdle(const std::string& endpoint) { idle_.close(endpoint); }
 
   private:
-    decisions::Result deliver(const decisions::Call& call);
-    decisions::Result attempt(const decisions::Call& call, const net::Address& address, int fd, bool warm,
-                              bool& keep);
-    decisions::Result answer(const decisions::Call& call, int fd, bool& keep);
+    decisions::AttemptResult deliver(const decisions::DueAttempt& call);
+    decisions::AttemptResult attempt(const decisions::DueAttempt& call, const net::Address& address, int fd,
+                                     bool warm, bool& keep);
+    decisions::AttemptResult answer(const decisions::DueAttempt& call, int fd, bool& keep);
 
     const config::Config& config_;
     decisions::Decisions& decisions_;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -312,21 +312,22 @@
                         : say(404, {}, "no such path\n");
     if (std::holds_alternative<Ready>(asked))
         return ready_ ? say(200, {}, "ready\n") : say(503, {}, "stopping\n");
-    const auto& message = std::get<decisions::HandIn>(asked);
-    const auto verdict = decisions_.report(message);
+    const auto& message = std::get<decisions::Submission>(asked);
+    const auto verdict = decisions_.submit(message);
     switch (verdict.kind) {
-        case decisions::Verdict::Kind::taken: {
+        case decisions::SubmissionResult::Kind::accepted: {
             const auto next = say(202, {}, "");
             // The client closed the connection: it may hand the message in again, and this one counts for
             // nothing.
             if (next == Next::close) decisions_.withdraw(message.id);
             return next;
         }
-        case decisions::Verdict::Kind::refused:
-            if (verdict.after.count() <= 0) return say(503, {}, "refused\n");
-            return say(503, {{"Retry-After", seconds(verdict.after)}}, "refused\n");
-        case decisions::Verdict::Kind::failed: return say(500, {}, "failed\n");
-        case decisions::Verdict::Kind::conflict: return say(409, {}, "the id is another message's\n");
+        case decisions::SubmissionResult::Kind::refused:
+            if (verdict.retryAfter.count() <= 0) return say(503, {}, "refused\n");
+            return say(503, {{"Retry-After", seconds(verdict.retryAfter)}}, "refused\n");
+        case decisions::SubmissionResult::Kind::failed: return say(500, {}, "failed\n");
+        case decisions::SubmissionResult::Kind::conflict:
+            return say(409, {}, "the id is another message's\n");
     }
     return Next::close;
 }
--- a/src/front/intake.cpp
+++ b/src/front/intake.cpp
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-std::variant<decisions::HandIn, Ready, Metrics, Denied> intake(const config::Config& config,
-                                                               http::Message& request,
-                                                               decisions::Moment came) {
+std::variant<decisions::Submission, Ready, Metrics, Denied> intake(const config::Config& config,
+                                                                   http::Message& request,
+                                                                   decisions::TimePoint came) {
     const std::string path = request.target.substr(0, request.target.find('?'));
     const bool get = request.method == "GET" || request.method == "HEAD";
     if (path == "/health/ready") {
@@ -63,11 +63,11 @@
     const auto* key = headers.find("Idempotency-Key");
     const bool keyed = config.settings.messageClasses[grade].effect == stoathub::Effect::keyed;
     if ((keyed || key) && !plain(key)) return Denied{400, "Idempotency-Key is missing or malformed"};
-    decisions::HandIn message;
+    decisions::Submission message;
     message.id = *id;
     if (key) message.key = *key;
     message.destination = *destination;
-    message.grade = static_cast<std::uint32_t>(grade);
+    message.messageClass = static_cast<std::uint32_t>(grade);
     message.tenant = static_cast<std::uint32_t>(tenant);
     // Nothing is held for longer than its class lasts, whatever its client says.
     const auto longest =
--- a/src/front/intake.hpp
+++ b/src/front/intake.hpp
@@ -21,8 +21,8 @@
 };
 
 /// `came`: when the request's first byte did; the client's time runs from before then.
-std::variant<decisions::HandIn, Ready, Metrics, Denied> intake(const config::Config& config,
-                                                               http::Message& request,
-                                                               decisions::Moment came);
+std::variant<decisions::Submission, Ready, Metrics, Denied> intake(const config::Config& config,
+                                                                   http::Message& request,
+                                                                   decisions::TimePoint came);
 
 }  // namespace laurelhaven::front
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -113,7 +113,7 @@
     delivery::Delivery* calls = nullptr;
     roster::Roster* list = nullptr;
     discovery::Discovery discovery(config.discovery);
-    notices::Notices notices(discovery, [&](const auto& ids) { facade->report(ids); });
+    notices::Notices notices(discovery, [&](const auto& ids) { facade->acknowledgeNotices(ids); });
     trace::Capture capture(own.capture, config);
     decisions::Decisions decisions(
         config, store,
@@ -122,12 +122,12 @@
              capture.ended(notice);
          },
          [&](const std::string& endpoint) { calls->closeIdle(endpoint); },
-         [&](const decisions::Call& call, const decisions::Result& result, auto took) {
+         [&](const decisions::DueAttempt& call, const decisions::AttemptResult& result, auto took) {
              list->answered(call, result);
              capture.answered(call, result, took);
          },
          [&](std::uint64_t destination) { list->wanted(destination); },
-         [&](const decisions::HandIn& message, const decisions::Verdict& verdict) {
+         [&](const decisions::Submission& message, const decisions::SubmissionResult& verdict) {
              capture.arrived(message, verdict);
          }},
         recordClock);
@@ -139,8 +139,8 @@
     registry::Registry registry(discovery, roster, own.registry, config.seed);
     front::Front front(config, decisions);
 
-    metrics::setGauge("messages_held", [&] { return static_cast<double>(decisions.held()); });
-    metrics::setGauge("attempts_out", [&] { return static_cast<double>(decisions.out()); });
+    metrics::setGauge("messages_held", [&] { return static_cast<double>(decisions.heldMessages()); });
+    metrics::setGauge("attempts_out", [&] { return static_cast<double>(decisions.attemptsInFlight()); });
     metrics::setGauge("notices_owed", [&] { return static_cast<double>(notices.owed()); });
     front.setMetrics(metrics::text);
     roster.begin();
@@ -164,19 +164,21 @@
     const auto stopIn = [&](milliseconds span) { return stopWithin(span, reloader); };
     while (!stopIn(std::chrono::hours(1))) {
     }
-    log::info() << "stopping, " << decisions.held() << " messages held";
+    log::info() << "stopping, " << decisions.heldMessages() << " messages held";
     const auto begun = std::chrono::steady_clock::now();
     const auto since = [&] { return std::chrono::steady_clock::now() - begun; };
     front.drain();
     bool hurry = false;  // a second signal
     const auto nothingLeft = [&] {
-        return since() > kLeastServeOn && front.connections() == 0 && decisions.held() == 0 &&
+        return since() > kLeastServeOn && front.connections() == 0 && decisions.heldMessages() == 0 &&
                notices.owed() == 0;
     };
     while (!hurry && since() < kServeOn && !nothingLeft()) hurry = stopIn(kLook);
     front.stop();
-    decisions.stopPicking();  // calls out may finish; those that have not begun are left to the next start
-    while (!hurry && since() < kFinish && (decisions.out() > 0 || notices.owed() > 0)) hurry = stopIn(kLook);
+    decisions
+        .stopDispatching();  // calls out may finish; those that have not begun are left to the next start
+    while (!hurry && since() < kFinish && (decisions.attemptsInFlight() > 0 || notices.owed() > 0))
+        hurry = stopIn(kLook);
     decisions.stop();
     notices.stop();
     registry.stop();
@@ -195,7 +197,7 @@
             .kv("written", c.written)
             .kv("dropped", c.dropped)
             .kv("bytes", c.bytes);
-    (log::info() << "stopped, " << decisions.held() << " messages left to the store")
+    (log::info() << "stopped, " << decisions.heldMessages() << " messages left to the store")
         .kv("rule_violations", decisions.violations().all());
     return 0;
 }
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -82,17 +82,17 @@
     // A list in use is written so often at least, and at once where an outage begins.
     if (!loaded.writtenInFuture)
         healthKnownUntil_ = image.writtenAt + (options_.confirmEvery + options_.writeEvery).count();
-    std::vector<decisions::Standing> told;
+    std::vector<decisions::DestinationHealth> told;
     const auto warmUp = std::chrono::ceil<milliseconds>(config_.settings.warmUp);
     for (const auto& [destination, s] : image.destinationHealth) {
         standings_[destination] = s;
-        decisions::Standing standing{destination, false, {}, s.rateLimit, false, false};
+        decisions::DestinationHealth standing{destination, false, {}, s.rateLimit, false, false};
         standing.down = s.down && now - s.lastOutageAt <= options_.outageMemory.count();
         const milliseconds cold(std::max<RecordMs>(0, now - s.recoveredAt));
-        if (s.recoveredAt > 0 && cold < warmUp) standing.sinceCold = cold;
-        if (standing.down || standing.sinceCold || standing.told > 0) told.push_back(standing);
+        if (s.recoveredAt > 0 && cold < warmUp) standing.sinceRecovery = cold;
+        if (standing.down || standing.sinceRecovery || standing.rateLimit > 0) told.push_back(standing);
     }
-    decisions_.report(told);
+    decisions_.updateDestinationHealth(told);
 }
 
 void Roster::begin() {
@@ -160,7 +160,7 @@
 // whatever befell it went unseen. Danger: its doubt is lifted only while it has not been capped, or a
 // confirmation of its address, which says nothing of its health, would let the whole backlog go at once.
 void Roster::weighDoubts(const std::unordered_set<std::uint64_t>& destinations,
-                         std::vector<decisions::Standing>& told) {
+                         std::vector<decisions::DestinationHealth>& told) {
     for (const auto destination : destinations) {
         bool any = false, vouched = false;
         for (const auto* entry : list_.endpointsOf(destination)) {
@@ -182,15 +182,15 @@
 /// Tells the facade what became of some endpoints: doubts first, so that nothing new is called at full pace.
 void Roster::tell(const std::unordered_set<std::uint64_t>& destinations, std::vector<listing::Endpoint> news,
                   bool saved) {
-    std::vector<decisions::Standing> doubts;
+    std::vector<decisions::DestinationHealth> doubts;
     weighDoubts(destinations, doubts);
-    decisions_.report(doubts);
+    decisions_.updateDestinationHealth(doubts);
     if (news.empty() && !saved) return;
     listing::Listing list;
     list.index = list_.index();
     list.whole = saved;
     list.endpoints = std::move(news);
-    decisions_.report(list, saved);
+    decisions_.updateEndpoints(list, saved);
 }
 
 void Roster::judgeAll(RecordMs now) {
@@ -292,15 +292,15 @@
 
 // ---- from the facade ----
 
-void Roster::answered(const decisions::Call& call, const decisions::Result& result) {
-    const bool good = result.ending == decisions::Ending::delivered;
-    if (!good && !result.foreign) return;
+void Roster::answered(const decisions::DueAttempt& call, const decisions::AttemptResult& result) {
+    const bool good = result.status == decisions::AttemptStatus::delivered;
+    if (!good && !result.unexpectedServer) return;
     const std::lock_guard lock(inbox_);
     const bool first = word_.empty();
     auto& word = word_[call.endpoint];  // bounded: one for each endpoint that gets calls
     if (word.address != call.address) word = {call.address, 0, false};
     word.delivered += good;
-    if (result.foreign && !word.foreign) word.foreign = urgent_ = true;
+    if (result.unexpectedServer && !word.foreign) word.foreign = urgent_ = true;
     if (first || urgent_) wake_.notify_all();
 }
 
@@ -341,7 +341,7 @@
     for (const auto& name : stale_) {
         const auto* entry = list_.find(name);
         if (!entry) continue;
-        const auto demand = decisions_.demand(entry->endpoint.group);
+        const auto demand = decisions_.pendingLoad(entry->endpoint.group);
         const auto& fellows = list_.endpointsOf(entry->endpoint.group);
         const bool served =
             std::any_of(fellows.begin(), fellows.end(), [](const auto* x) { return usable(*x); });
@@ -357,7 +357,7 @@
     const std::lock_guard lock(work_);
     const auto* entry = list_.find(endpoint);
     return entry && entry->probeFirst && entry->endpoint.address == at &&
-           decisions_.demand(entry->endpoint.group).waitUntil <= Steady::now();
+           decisions_.pendingLoad(entry->endpoint.group).waitUntil <= Steady::now();
 }
 
 void Roster::probe(const std::string& endpoint) {
@@ -426,7 +426,8 @@
     // before it is offered.
     if (status > 0) {
         doubted_.insert(entry->endpoint.group);
-        decisions_.report({decisions::Standing{entry->endpoint.group, false, {}, 0, true, true}});
+        decisions_.updateDestinationHealth(
+            {decisions::DestinationHealth{entry->endpoint.group, false, {}, 0, true, true}});
     }
     const auto now = recordClock_.now();
     std::vector<std::string> touched{endpoint};
@@ -451,9 +452,9 @@
 /// The standings that differ from what is on disk by more than chance.
 std::vector<kept::DestinationHealth> Roster::changedStandings(RecordMs now) {
     std::unordered_map<std::uint64_t, kept::DestinationHealth> fresh;
-    for (const auto& s : decisions_.standings()) {
-        kept::DestinationHealth one{s.destination, s.down, 0, 0, s.told};
-        if (s.sinceCold) one.recoveredAt = now - s.sinceCold->count();
+    for (const auto& s : decisions_.destinationHealth()) {
+        kept::DestinationHealth one{s.destination, s.down, 0, 0, s.rateLimit};
+        if (s.sinceRecovery) one.recoveredAt = now - s.sinceRecovery->count();
         const auto it = standings_.find(s.destination);
         if (it != standings_.end()) one.lastOutageAt = it->second.lastOutageAt;
         if (s.down) one.lastOutageAt = now;
--- a/src/roster/roster.hpp
+++ b/src/roster/roster.hpp
@@ -69,7 +69,7 @@
     std::uint64_t index() const;
 
     // -- from the facade, under its lock: these only leave word --
-    void answered(const decisions::Call& call, const decisions::Result& result);
+    void answered(const decisions::DueAttempt& call, const decisions::AttemptResult& result);
     void wanted(std::uint64_t destination);
 
     struct Counts {
@@ -96,7 +96,7 @@
     void tell(const std::unordered_set<std::uint64_t>& destinations, std::vector<listing::Endpoint> news,
               bool saved = false);
     void weighDoubts(const std::unordered_set<std::uint64_t>& destinations,
-                     std::vector<decisions::Standing>& told);
+                     std::vector<decisions::DestinationHealth>& told);
     void takeWord(std::unordered_map<std::string, Word> word);
     std::vector<trust::Candidate> candidates() const;
     void probe(const std::string& endpoint);
--- a/src/trace/capture.cpp
+++ b/src/trace/capture.cpp
@@ -61,23 +61,23 @@
     if (left_.size() == 1 || left_.size() == options_.buffer / 2) wake_.notify_one();
 }
 
-void Capture::arrived(const decisions::HandIn& message, const decisions::Verdict& verdict) {
+void Capture::arrived(const decisions::Submission& message, const decisions::SubmissionResult& verdict) {
     if (!options_.enabled) return;
     Arrival r;
     r.at = wallNow();
     r.id = hashed(message.id);
-    r.grade = named(config_.classes, message.grade);
+    r.grade = named(config_.classes, message.messageClass);
     r.tenant = named(config_.tenants, message.tenant);
     r.destination = message.destination;
     r.bytes = message.body ? message.body->size() : 0;
     r.deadlineMs =
         whole(std::chrono::duration_cast<milliseconds>(message.deadline - decisions::Steady::now()));
     r.verdict = static_cast<Verdict>(verdict.kind);
-    r.retryAfterMs = whole(verdict.after);
+    r.retryAfterMs = whole(verdict.retryAfter);
     leave(std::move(r));
 }
 
-void Capture::answered(const decisions::Call& call, const decisions::Result& result,
+void Capture::answered(const decisions::DueAttempt& call, const decisions::AttemptResult& result,
                        std::chrono::nanoseconds took) {
     if (!options_.enabled) return;
     Answer r;
@@ -87,8 +87,8 @@
     r.endpoint = call.endpoint;
     r.attempt = static_cast<std::uint64_t>(call.attempt);
     // A trace does not tell apart why a call did not go out.
-    r.ending =
-        result.ending == decisions::Ending::unsent ? Ending::notSent : static_cast<Ending>(result.ending);
+    r.ending = result.status == decisions::AttemptStatus::unsent ? Ending::notSent
+                                                                 : static_cast<Ending>(result.status);
     r.tookUs = static_cast<std::uint64_t>(std::max<std::int64_t>(0, took.count() / 1000));
     r.waitMs = whole(std::chrono::duration_cast<milliseconds>(result.wait));
     if (result.allowedRate && std::isfinite(*result.allowedRate) && *result.allowedRate > 0)
--- a/src/trace/capture.hpp
+++ b/src/trace/capture.hpp
@@ -38,8 +38,8 @@
     void stop();
 
     // -- from the facade, under its lock: these only leave word --
-    void arrived(const decisions::HandIn& message, const decisions::Verdict& verdict);
-    void answered(const decisions::Call& call, const decisions::Result& result,
+    void arrived(const decisions::Submission& message, const decisions::SubmissionResult& verdict);
+    void answered(const decisions::DueAttempt& call, const decisions::AttemptResult& result,
                   std::chrono::nanoseconds took);
     void ended(const store::PendingNotice& notice);
 
--- a/tests/decisions/told_wait_test.cpp
+++ b/tests/decisions/announced_wait_test.cpp
@@ -29,7 +29,7 @@
     return state != std::string::npos && line[state + 2] == 'S';
 }
 
-decisions::HandIn message(const std::string& id) {
+decisions::Submission message(const std::string& id) {
     return {id,
             "key-" + id,
             7,
@@ -52,29 +52,29 @@
         std::atomic<bool> holding{false};
         std::atomic<pid_t> hearer{0};
         decisions::Hooks hooks;
-        hooks.arrived = [&](const decisions::HandIn& in, const decisions::Verdict&) {
+        hooks.messageSubmitted = [&](const decisions::Submission& in, const decisions::SubmissionResult&) {
             if (in.id != "third") return;
             holding = true;  // the facade's lock, as hooks are called with it held
             while (hearer == 0 || !sleeps(hearer)) std::this_thread::yield();
         };
         decisions::Decisions facade(config, store, hooks);
-        facade.report(config.known, true);
-        facade.report(message("first"));
-        facade.report(message("second"));
-        const auto first = facade.pick(), second = facade.pick();
-        ASSERT_TRUE(facade.begin(*first));
+        facade.updateEndpoints(config.known, true);
+        facade.submit(message("first"));
+        facade.submit(message("second"));
+        const auto first = facade.takeDueAttempt(), second = facade.takeDueAttempt();
+        ASSERT_TRUE(facade.tryBeginAttempt(*first));
         std::thread hears;
         std::thread holds([&] {
             hears = std::thread([&] {
-                decisions::Result refused;
-                refused.ending = decisions::Ending::turnedAway;
+                decisions::AttemptResult refused;
+                refused.status = decisions::AttemptStatus::rejected;
                 refused.wait = std::chrono::seconds(5);
                 while (!holding) std::this_thread::yield();
                 hearer = static_cast<pid_t>(syscall(SYS_gettid));
-                facade.report(*first, refused);
+                facade.recordResult(*first, refused);
             });
-            facade.report(message("third"));
-            EXPECT_FALSE(facade.begin(*second)) << "round " << round;
+            facade.submit(message("third"));
+            EXPECT_FALSE(facade.tryBeginAttempt(*second)) << "round " << round;
         });
         holds.join();
         hears.join();
--- a/tests/decisions/attempts_over_lives_test.cpp
+++ b/tests/decisions/attempts_across_restarts_test.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 using namespace laurelhaven;
-using decisions::Call;
-using decisions::Ending;
+using decisions::AttemptStatus;
+using decisions::DueAttempt;
 
 constexpr std::uint64_t kDiskBytes = 3'000'000;
 
@@ -26,7 +26,7 @@
   public:
     explicit Life(const std::string& folder)
         : journal_(folder, kDiskBytes), found_(journal_.recover()), facade_(config_, journal_, {}) {
-        facade_.report(config_.known, true);
+        facade_.updateEndpoints(config_.known, true);
         facade_.restore(found_.messages);
         ticker_ = threads::Thread("tick", [this] {
             while (facade_.tick()) {
@@ -38,20 +38,20 @@
         ticker_.join();
     }
     void handIn(const std::string& id) {
-        facade_.report(decisions::HandIn{id, "key", 7, 0, 0,
-                                         decisions::Steady::now() + std::chrono::seconds(20),
-                                         std::make_shared<const std::string>("body")});
+        facade_.submit(decisions::Submission{id, "key", 7, 0, 0,
+                                             decisions::Steady::now() + std::chrono::seconds(20),
+                                             std::make_shared<const std::string>("body")});
     }
-    Call next() { return *facade_.pick(); }
-    Call begin() {
+    DueAttempt next() { return *facade_.takeDueAttempt(); }
+    DueAttempt begin() {
         const auto call = next();
-        EXPECT_TRUE(facade_.begin(call));
+        EXPECT_TRUE(facade_.tryBeginAttempt(call));
         return call;
     }
-    void report(const Call& call, Ending ending) {
-        decisions::Result result;
-        result.ending = ending;
-        facade_.report(call, result);
+    void report(const DueAttempt& call, AttemptStatus ending) {
+        decisions::AttemptResult result;
+        result.status = ending;
+        facade_.recordResult(call, result);
     }
     const std::vector<store::StoredMessage>& found() const { return found_.messages; }
 
@@ -94,7 +94,7 @@
         ASSERT_EQ(second.found().size(), 1u);
         sentAt = second.found()[0].attempts.mayHaveRunSince();
         ASSERT_TRUE(sentAt.has_value());
-        second.report(second.next(), Ending::noConnection);
+        second.report(second.next(), AttemptStatus::noConnection);
     }
     const Life third(folder_.path);
     ASSERT_EQ(third.found().size(), 1u);
@@ -109,10 +109,10 @@
         first.handIn("m");
         const auto call = first.begin();
         const auto from = journalBytes();
-        first.report(call, Ending::error);
+        first.report(call, AttemptStatus::error);
         const auto repeat = first.begin();
         const auto to = journalBytes();
-        first.report(repeat, Ending::turnedAway);
+        first.report(repeat, AttemptStatus::rejected);
         damage(from, to);
     }
     const Life second(folder_.path);
--- a/tests/decisions/hand_in_twice_test.cpp
+++ b/tests/decisions/duplicate_submission_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace laurelhaven;
-using Kind = decisions::Verdict::Kind;
+using Kind = decisions::SubmissionResult::Kind;
 
 struct CountingStore : check::NoStore {
     int over = 0;
@@ -22,13 +22,13 @@
   protected:
     HandInTwice() {
         log::setLevel(log::Level::off);
-        facade_.report(config_.known, true);
+        facade_.updateEndpoints(config_.known, true);
     }
     ~HandInTwice() override { facade_.stop(); }
-    decisions::Verdict handIn() {
-        return facade_.report(decisions::HandIn{"m", "key", 7, 0, 0,
-                                                decisions::Steady::now() + std::chrono::seconds(20),
-                                                std::make_shared<const std::string>("body")});
+    decisions::SubmissionResult handIn() {
+        return facade_.submit(decisions::Submission{"m", "key", 7, 0, 0,
+                                                    decisions::Steady::now() + std::chrono::seconds(20),
+                                                    std::make_shared<const std::string>("body")});
     }
 
     const config::Config config_ =
@@ -41,19 +41,19 @@
 
 // The answer to the first could not be written, and the second was told that the message is taken.
 TEST_F(HandInTwice, ALostAnswerTakesNothingBackFromTheOther) {
-    ASSERT_EQ(handIn().kind, Kind::taken);
+    ASSERT_EQ(handIn().kind, Kind::accepted);
     const auto again = handIn();
-    ASSERT_EQ(again.kind, Kind::taken);
-    EXPECT_TRUE(again.before);
+    ASSERT_EQ(again.kind, Kind::accepted);
+    EXPECT_TRUE(again.duplicate);
     facade_.withdraw("m");
-    EXPECT_EQ(facade_.held(), 1u) << "it is owed to whoever heard the second answer";
+    EXPECT_EQ(facade_.heldMessages(), 1u) << "it is owed to whoever heard the second answer";
     EXPECT_EQ(store_.over, 0);
 }
 
 // Neither answer could be written: the message counts for nothing.
 TEST_F(HandInTwice, TwoLostAnswersLeaveNothingOwed) {
-    ASSERT_EQ(handIn().kind, Kind::taken);
-    ASSERT_EQ(handIn().kind, Kind::taken);
+    ASSERT_EQ(handIn().kind, Kind::accepted);
+    ASSERT_EQ(handIn().kind, Kind::accepted);
     facade_.withdraw("m");
     facade_.withdraw("m");
     EXPECT_EQ(store_.over, 1);
--- a/tests/decisions/recorded_ends_test.cpp
+++ b/tests/decisions/end_recording_test.cpp
@@ -25,9 +25,9 @@
   protected:
     RecordedEnds() {
         log::setLevel(log::Level::off);
-        hooks_.ended = [this](const store::PendingNotice&) { told_ = true; };
+        hooks_.messageEnded = [this](const store::PendingNotice&) { told_ = true; };
         facade_ = std::make_unique<decisions::Decisions>(config_, store_, hooks_);
-        facade_->report(config_.known, true);
+        facade_->updateEndpoints(config_.known, true);
         ticker_ = threads::Thread("tick", [this] {
             while (facade_->tick()) {
             }
@@ -39,15 +39,15 @@
     }
     /// A message whose only call runs into its deadline: its end is decided then.
     void end(std::chrono::milliseconds within) {
-        facade_->report(decisions::HandIn{"m", "key", 7, 0, 0, decisions::Steady::now() + within,
-                                          std::make_shared<const std::string>("body")});
-        const auto call = facade_->pick();
-        ASSERT_TRUE(facade_->begin(*call));
+        facade_->submit(decisions::Submission{"m", "key", 7, 0, 0, decisions::Steady::now() + within,
+                                              std::make_shared<const std::string>("body")});
+        const auto call = facade_->takeDueAttempt();
+        ASSERT_TRUE(facade_->tryBeginAttempt(*call));
         store_.fails = true;
-        decisions::Result late;
-        late.ending = decisions::Ending::timedOut;
-        std::this_thread::sleep_until(call->until);
-        facade_->report(*call, late);
+        decisions::AttemptResult late;
+        late.status = decisions::AttemptStatus::timedOut;
+        std::this_thread::sleep_until(call->tryUntil);
+        facade_->recordResult(*call, late);
     }
     bool toldWithin(std::chrono::milliseconds span) const {
         const auto until = decisions::Steady::now() + span;
--- a/tests/delivery/local_failures_test.cpp
+++ b/tests/delivery/local_failures_test.cpp
@@ -61,9 +61,9 @@
     NoStore store;
     std::atomic<int> ended{0};
     decisions::Hooks hooks;
-    hooks.ended = [&](const store::PendingNotice&) { ++ended; };
+    hooks.messageEnded = [&](const store::PendingNotice&) { ++ended; };
     decisions::Decisions facade(config, store, hooks);
-    facade.report(config.known, true);
+    facade.updateEndpoints(config.known, true);
     failWith = GetParam().error;
     *GetParam().call = 8;  // as many as a message may have attempts
     delivery::Delivery delivery(config, facade);
@@ -74,15 +74,16 @@
     });
     for (int i = 0; i < 3; ++i) {
         const auto id = "m" + std::to_string(i);
-        facade.report(decisions::HandIn{id, "key-" + id, 7, 0, 0,
-                                        decisions::Steady::now() + std::chrono::seconds(25),
-                                        std::make_shared<const std::string>("body")});
+        facade.submit(decisions::Submission{id, "key-" + id, 7, 0, 0,
+                                            decisions::Steady::now() + std::chrono::seconds(25),
+                                            std::make_shared<const std::string>("body")});
     }
-    await([&] { return facade.held() == 0; });
+    await([&] { return facade.heldMessages() == 0; });
     EXPECT_EQ(called, 3);
     EXPECT_EQ(ended, 0);
     bool outage = false;
-    for (const auto& standing : facade.standings()) outage = outage || standing.down || standing.sinceCold;
+    for (const auto& standing : facade.destinationHealth())
+        outage = outage || standing.down || standing.sinceRecovery;
     EXPECT_EQ(outage, !GetParam().ours);
     facade.stop();
     delivery.stop();
--- a/tests/laurelhaven/decisions_test.cpp
+++ b/tests/laurelhaven/decisions_test.cpp
@@ -12,10 +12,10 @@
 #include "log/log.hpp"
 
 using namespace laurelhaven;
-using decisions::Call;
-using decisions::Ending;
-using decisions::Result;
-using Kind = decisions::Verdict::Kind;
+using decisions::AttemptResult;
+using decisions::AttemptStatus;
+using decisions::DueAttempt;
+using Kind = decisions::SubmissionResult::Kind;
 using std::chrono::milliseconds;
 
 namespace {
@@ -57,22 +57,22 @@
           facade(config, memory,
                  {[this](const store::PendingNotice& notice) { ends.push_back(notice); },
                   [this](const std::string& endpoint) { closed.push_back(endpoint); }}) {
-        facade.report(config.known, true);
+        facade.updateEndpoints(config.known, true);
     }
     ~Rig() { facade.stop(); }
-    decisions::Verdict hand(const std::string& id, milliseconds within = milliseconds(20000), int dest = 7,
-                            const std::string& body = "body") {
-        decisions::HandIn message;
+    decisions::SubmissionResult hand(const std::string& id, milliseconds within = milliseconds(20000),
+                                     int dest = 7, const std::string& body = "body") {
+        decisions::Submission message;
         message.id = id;
         message.key = "k";
         message.destination = static_cast<std::uint64_t>(dest);
         message.deadline = decisions::Steady::now() + within;
         message.body = std::make_shared<const std::string>(body);
-        return facade.report(message);
+        return facade.submit(message);
     }
     void list(const std::string& entries) {
         std::string why;
-        facade.report(*listing::parse(check::list(2, false, entries), why));
+        facade.updateEndpoints(*listing::parse(check::list(2, false, entries), why));
     }
     void tickUntil(const std::function<bool()>& done) {
         while (!done()) CHECK(facade.tick());
@@ -85,50 +85,55 @@
     decisions::Decisions facade;
 };
 
-Result ended(Ending ending, milliseconds wait = {}) { return Result{ending, false, wait, {}, {}}; }
+AttemptResult ended(AttemptStatus ending, milliseconds wait = {}) {
+    return AttemptResult{ending, false, wait, {}, {}};
+}
 
 void deliveredIsForgotten() {
     Rig rig;
-    CHECK(rig.hand("m").kind == Kind::taken && rig.memory.live.count("m"));
-    CHECK(rig.hand("m").kind == Kind::taken && rig.facade.held() == 1);  // the same request once more
-    const auto call = rig.facade.pick();
+    CHECK(rig.hand("m").kind == Kind::accepted && rig.memory.live.count("m"));
+    CHECK(rig.hand("m").kind == Kind::accepted &&
+          rig.facade.heldMessages() == 1);  // the same request once more
+    const auto call = rig.facade.takeDueAttempt();
     CHECK(call->id == "m" && call->endpoint == "a" && call->address == "127.0.0.1:9" &&
           *call->body == "body");
-    CHECK(rig.facade.begin(*call) && rig.facade.begin(*call) && rig.memory.attempts == 1);
-    rig.facade.report(*call, ended(Ending::delivered));
-    CHECK(rig.facade.held() == 0 && rig.facade.out() == 0 && rig.memory.live.empty() && rig.ends.empty());
-    CHECK(!rig.facade.begin(*call));
+    CHECK(rig.facade.tryBeginAttempt(*call) && rig.facade.tryBeginAttempt(*call) && rig.memory.attempts == 1);
+    rig.facade.recordResult(*call, ended(AttemptStatus::delivered));
+    CHECK(rig.facade.heldMessages() == 0 && rig.facade.attemptsInFlight() == 0 && rig.memory.live.empty() &&
+          rig.ends.empty());
+    CHECK(!rig.facade.tryBeginAttempt(*call));
 }
 
 void refusals() {
     Rig rig;
-    for (int i = 0; i < kMaxOpen; ++i) CHECK(rig.hand("m" + std::to_string(i)).kind == Kind::taken);
+    for (int i = 0; i < kMaxOpen; ++i) CHECK(rig.hand("m" + std::to_string(i)).kind == Kind::accepted);
     const auto full = rig.hand("more");
-    CHECK(full.kind == Kind::refused && full.after.count() > 0 && !rig.memory.live.count("more"));
+    CHECK(full.kind == Kind::refused && full.retryAfter.count() > 0 && !rig.memory.live.count("more"));
     Rig other;
     CHECK(other.hand("late", milliseconds(0)).kind == Kind::refused);
     // Refused in its own turn: what was stored for it is over on record too.
     const auto spent = other.hand("spent", milliseconds(2));
-    CHECK(spent.kind == Kind::refused && spent.after.count() > 0);
-    CHECK(other.memory.live.empty() && other.ends.empty() && other.facade.held() == 0);
+    CHECK(spent.kind == Kind::refused && spent.retryAfter.count() > 0);
+    CHECK(other.memory.live.empty() && other.ends.empty() && other.facade.heldMessages() == 0);
     other.memory.room = false;
     const auto stored = other.hand("m");
-    CHECK(stored.kind == Kind::refused && stored.after.count() > 0 && other.facade.held() == 0);
+    CHECK(stored.kind == Kind::refused && stored.retryAfter.count() > 0 && other.facade.heldMessages() == 0);
 }
 
 // An id that is open already belongs to its first hand-in, and a destination must be one of the list's.
 void repeatsAndUnknownDestinations() {
     Rig rig;
-    CHECK(!rig.hand("m").before && rig.hand("m").before && rig.facade.held() == 1);
+    CHECK(!rig.hand("m").duplicate && rig.hand("m").duplicate && rig.facade.heldMessages() == 1);
     for (int dest = 100; dest < 2100; ++dest) {
         const auto verdict = rig.hand("x" + std::to_string(dest), milliseconds(20000), dest);
-        CHECK(verdict.kind == Kind::refused && verdict.after.count() > 0);
+        CHECK(verdict.kind == Kind::refused && verdict.retryAfter.count() > 0);
     }
-    CHECK(rig.facade.held() == 1 && rig.memory.live.size() == 1 && rig.facade.counts().destinations == 1);
+    CHECK(rig.facade.heldMessages() == 1 && rig.memory.live.size() == 1 &&
+          rig.facade.tableSizes().destinations == 1);
     // Another message under that id: its client must not hear that it was taken on.
     CHECK(rig.hand("m", milliseconds(20000), 7, "other").kind == Kind::conflict);
-    const auto call = rig.facade.pick();
-    CHECK(*call->body == "body" && rig.facade.begin(*call));
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(*call->body == "body" && rig.facade.tryBeginAttempt(*call));
     // It was handed in twice, and told so: it is owed until neither of the two may have heard that.
     rig.facade.withdraw("m");
     CHECK(rig.memory.live.size() == 1);
@@ -145,17 +150,17 @@
         const auto next = check::entry("e" + std::to_string(i + 1), "127.0.0.1:9", 7);
         rig.list(next + "," + check::entry(i ? "e" + std::to_string(i) : "a", "127.0.0.1:9", 7, "DELETED"));
     }
-    CHECK(rig.facade.counts().endpoints == 1 && rig.closed.size() == 3000 && rig.closed[1] == "e1");
+    CHECK(rig.facade.tableSizes().endpoints == 1 && rig.closed.size() == 3000 && rig.closed[1] == "e1");
     rig.hand("m");
-    const auto call = rig.facade.pick();
-    CHECK(call->endpoint == "e3000" && rig.facade.begin(*call));
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(call->endpoint == "e3000" && rig.facade.tryBeginAttempt(*call));
     rig.list(check::entry("e3000", "127.0.0.1:9", 7, "DRAINING"));
     CHECK(rig.closed.size() == 3001);
-    rig.facade.report(*call, ended(Ending::turnedAway, milliseconds(20)));
-    CHECK(rig.facade.counts().waits == 1);
+    rig.facade.recordResult(*call, ended(AttemptStatus::rejected, milliseconds(20)));
+    CHECK(rig.facade.tableSizes().waits == 1);
     std::this_thread::sleep_for(milliseconds(30));
     rig.list(check::entry("f", "127.0.0.1:9", 7));
-    CHECK(rig.facade.counts().waits == 0);
+    CHECK(rig.facade.tableSizes().waits == 0);
 }
 
 // Each of these came between the decision and the first byte.
@@ -164,10 +169,10 @@
         Rig rig;
         rig.hand("m");
         rig.hand("n");
-        const auto m = rig.facade.pick(), n = rig.facade.pick();
+        const auto m = rig.facade.takeDueAttempt(), n = rig.facade.takeDueAttempt();
         if (why == 0) {
-            CHECK(rig.facade.begin(*m));
-            rig.facade.report(*m, ended(Ending::turnedAway, milliseconds(900)));
+            CHECK(rig.facade.tryBeginAttempt(*m));
+            rig.facade.recordResult(*m, ended(AttemptStatus::rejected, milliseconds(900)));
         }
         if (why == 1) rig.list(check::entry("a", "127.0.0.1:9", 7, "DRAINING"));
         if (why == 2) rig.list(check::entry("a", "127.0.0.1:9", 7, "DELETED"));
@@ -175,26 +180,26 @@
         if (why == 4) rig.list(check::entry("a", "127.0.0.1:10", 7));  // it listens elsewhere now
         if (why == 5) rig.memory.room = false;                         // its attempt can't be put on record
         const int before = rig.memory.outcomes;
-        CHECK(!rig.facade.begin(*n));
-        rig.facade.report(*n, ended(Ending::unsent));
-        CHECK(rig.memory.outcomes == before && rig.facade.out() == (why == 0 ? 0u : 1u));
-        CHECK(rig.facade.held() == (why == 3 ? 1u : 2u));
+        CHECK(!rig.facade.tryBeginAttempt(*n));
+        rig.facade.recordResult(*n, ended(AttemptStatus::unsent));
+        CHECK(rig.memory.outcomes == before && rig.facade.attemptsInFlight() == (why == 0 ? 0u : 1u));
+        CHECK(rig.facade.heldMessages() == (why == 3 ? 1u : 2u));
     }
 }
 
 void toldWaitHoldsEveryMessage() {
     Rig rig;
     rig.hand("m");
-    const auto call = rig.facade.pick();
-    CHECK(rig.facade.begin(*call));
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(rig.facade.tryBeginAttempt(*call));
     const auto told = decisions::Steady::now();
-    rig.facade.report(*call, ended(Ending::turnedAway, milliseconds(300)));
+    rig.facade.recordResult(*call, ended(AttemptStatus::rejected, milliseconds(300)));
     rig.hand("n");
     std::thread ticker([&] {
         while (rig.facade.tick()) {
         }
     });
-    CHECK(rig.facade.pick());
+    CHECK(rig.facade.takeDueAttempt());
     CHECK(decisions::Steady::now() - told >= milliseconds(300));
     rig.facade.stop();
     ticker.join();
@@ -204,19 +209,20 @@
     Rig rig;
     rig.list(check::entry("b", "127.0.0.1:9", 8));
     rig.list(check::entry("b", "127.0.0.1:9", 8, "DELETED"));
-    CHECK(rig.hand("nowhere", milliseconds(60), 8).kind == Kind::taken);  // no endpoint is listed just now
+    CHECK(rig.hand("nowhere", milliseconds(60), 8).kind == Kind::accepted);  // no endpoint is listed just now
     rig.tickUntil([&] { return !rig.ends.empty(); });
     CHECK(rig.ends.size() == 1 && rig.ends[0].id == "nowhere" &&
           rig.ends[0].finalState == store::FinalState::returned);
-    CHECK(rig.memory.owed.count("nowhere") && rig.facade.held() == 0);
-    rig.facade.report(std::vector<std::string>{"nowhere"});
+    CHECK(rig.memory.owed.count("nowhere") && rig.facade.heldMessages() == 0);
+    rig.facade.acknowledgeNotices(std::vector<std::string>{"nowhere"});
     CHECK(rig.memory.owed.empty());
-    CHECK(rig.hand("hung", milliseconds(150)).kind == Kind::taken);
-    const auto call = rig.facade.pick();
-    CHECK(rig.facade.begin(*call) && call->until <= decisions::Steady::now() + milliseconds(150));
-    std::this_thread::sleep_until(call->until);
-    rig.facade.report(*call, ended(Ending::timedOut));
-    CHECK(rig.ends.size() == 2 && rig.ends[1].id == "hung" && rig.facade.held() == 0);
+    CHECK(rig.hand("hung", milliseconds(150)).kind == Kind::accepted);
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(rig.facade.tryBeginAttempt(*call) &&
+          call->tryUntil <= decisions::Steady::now() + milliseconds(150));
+    std::this_thread::sleep_until(call->tryUntil);
+    rig.facade.recordResult(*call, ended(AttemptStatus::timedOut));
+    CHECK(rig.ends.size() == 2 && rig.ends[1].id == "hung" && rig.facade.heldMessages() == 0);
 }
 
 store::StoredMessage left(const std::string& id, store::RecordMs within, std::uint32_t attempts,
@@ -248,11 +254,11 @@
     std::set<std::string> ends;
     for (const auto& end : rig.ends) ends.insert(end.id);
     CHECK((ends == std::set<std::string>{"late", "spent", "window"}));
-    CHECK(rig.facade.pick()->id == "fresh");
-    while (rig.facade.out() < 2) rig.facade.tick();  // after its backoff
-    const auto call = rig.facade.pick();
-    CHECK(call->id == "again" && call->attempt == 2 && rig.facade.begin(*call));
-    rig.facade.report(*call, ended(Ending::delivered));
+    CHECK(rig.facade.takeDueAttempt()->id == "fresh");
+    while (rig.facade.attemptsInFlight() < 2) rig.facade.tick();  // after its backoff
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(call->id == "again" && call->attempt == 2 && rig.facade.tryBeginAttempt(*call));
+    rig.facade.recordResult(*call, ended(AttemptStatus::delivered));
     CHECK(rig.memory.live.size() == 1 && rig.ends.size() == 3);
 }
 
@@ -271,7 +277,7 @@
             rig.memory.live.insert(all.back().id);
         }
         rig.facade.restore(all, knownFor == 0 ? 0 : all.back().attempts.lastFailureAt() + knownFor);
-        const auto standings = rig.facade.standings();
+        const auto standings = rig.facade.destinationHealth();
         return std::any_of(standings.begin(), standings.end(),
                            [](const auto& s) { return s.destination == 7 && s.down; });
     };
@@ -284,11 +290,11 @@
     const auto again = left("again", 9000, 1, 14200);  // of 15 s
     rig.memory.live.insert("again");
     rig.facade.restore({again});
-    while (rig.facade.out() < 1) rig.facade.tick();  // after its backoff
-    const auto call = rig.facade.pick();
-    CHECK(rig.facade.begin(*call));
+    while (rig.facade.attemptsInFlight() < 1) rig.facade.tick();  // after its backoff
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(rig.facade.tryBeginAttempt(*call));
     std::this_thread::sleep_for(milliseconds(900));
-    CHECK(call->until > decisions::Steady::now() && !rig.facade.begin(*call));
+    CHECK(call->tryUntil > decisions::Steady::now() && !rig.facade.tryBeginAttempt(*call));
 }
 
 // A restart with a configuration that has fewer classes: nobody would ever end what was taken for the others.
@@ -299,7 +305,7 @@
     ran.messageClass = fresh.messageClass = "gone";
     for (const auto* m : {&ran, &fresh, &known}) rig.memory.live.insert(m->id);
     rig.facade.restore({ran, fresh, known});
-    CHECK(rig.ends.size() == 2 && rig.facade.held() == 1);
+    CHECK(rig.ends.size() == 2 && rig.facade.heldMessages() == 1);
     CHECK(rig.ends[0].id == "ran" && rig.ends[0].finalState == store::FinalState::failed);
     CHECK(rig.ends[1].id == "fresh" && rig.ends[1].finalState == store::FinalState::returned);
 }
@@ -330,15 +336,15 @@
         std::vector<store::PendingNotice> ends;
         decisions::Decisions facade(config, memory,
                                     {[&](const store::PendingNotice& e) { ends.push_back(e); }, {}});
-        facade.report(config.known, true);
+        facade.updateEndpoints(config.known, true);
         auto m = left("m", 9000, c.ran ? 1 : 0, c.ran ? 1000 : 0);
         m.messageClass = c.grade;
         m.effect = c.effect;
         if (!c.key) m.key.clear();
         memory.live.insert("m");
         facade.restore({m});
-        while (ends.empty() && facade.out() == 0) CHECK(facade.tick());
-        CHECK(ends.empty() == c.called && (facade.out() == 1) == c.called);
+        while (ends.empty() && facade.attemptsInFlight() == 0) CHECK(facade.tick());
+        CHECK(ends.empty() == c.called && (facade.attemptsInFlight() == 1) == c.called);
         CHECK(c.called || ends[0].finalState == store::FinalState::failed);
         facade.stop();
     }
@@ -348,26 +354,26 @@
 void whatIsGivenUpIsAnsweredAtOnce() {
     Rig rig;
     rig.hand("m");
-    const auto call = rig.facade.pick();
-    CHECK(rig.facade.begin(*call));
-    rig.facade.report(*call, ended(Ending::turnedAway, milliseconds(60000)));
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(rig.facade.tryBeginAttempt(*call));
+    rig.facade.recordResult(*call, ended(AttemptStatus::rejected, milliseconds(60000)));
     CHECK(rig.ends.size() == 1 && rig.ends[0].finalState == store::FinalState::returned &&
           rig.ends[0].retryAfterMs == 3000);
     const auto verdict = rig.hand("n");
-    CHECK(verdict.kind == Kind::refused && verdict.after == milliseconds(3000));
-    CHECK(rig.facade.held() == 0 && rig.memory.live.empty());
+    CHECK(verdict.kind == Kind::refused && verdict.retryAfter == milliseconds(3000));
+    CHECK(rig.facade.heldMessages() == 0 && rig.memory.live.empty());
 }
 
 void stoppingLeavesTheRestToTheStore() {
     Rig rig;
     rig.hand("m");
-    const auto call = rig.facade.pick();
-    CHECK(rig.facade.begin(*call));
-    rig.facade.stopPicking();
-    CHECK(!rig.facade.pick());
+    const auto call = rig.facade.takeDueAttempt();
+    CHECK(rig.facade.tryBeginAttempt(*call));
+    rig.facade.stopDispatching();
+    CHECK(!rig.facade.takeDueAttempt());
     rig.facade.stop();
-    CHECK(call->calledOff.stop_requested() && !rig.facade.tick());
-    rig.facade.report(*call, ended(Ending::cancelled));
+    CHECK(call->cancelToken.stop_requested() && !rig.facade.tick());
+    rig.facade.recordResult(*call, ended(AttemptStatus::cancelled));
     CHECK(rig.memory.live.count("m") && rig.memory.outcomes == 0 && rig.ends.empty());
     CHECK(rig.hand("n").kind == Kind::refused && !rig.memory.live.count("n"));
 }
--- a/tests/laurelhaven/parser_test.cpp
+++ b/tests/laurelhaven/parser_test.cpp
@@ -201,21 +201,22 @@
 }
 
 void answersMeanWhatTheTableSays() {
-    using decisions::Ending;
+    using decisions::AttemptStatus;
     const auto of = [](const std::string& head) {
         Parser parser(Parser::Role::response);
         CHECK(parser.feed("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n") == State::complete);
         return delivery::meaning(parser.message());
     };
-    CHECK(of("200 OK").ending == Ending::delivered && of("500 E").ending == Ending::error);
+    CHECK(of("200 OK").status == AttemptStatus::delivered && of("500 E").status == AttemptStatus::error);
     const auto wait = of("429 Wait\r\nRetry-After: 0.43\r\nSrv-Load: x0=0.4,x1=25");
-    CHECK(wait.ending == Ending::turnedAway && wait.wait == std::chrono::milliseconds(430) && !wait.over);
+    CHECK(wait.status == AttemptStatus::rejected && wait.wait == std::chrono::milliseconds(430) &&
+          !wait.messageFinished);
     CHECK(*wait.allowanceLeft == 0.4 && *wait.allowedRate == 25);
     CHECK(of("429 Wait\r\nRetry-After: soon").wait.count() == 0);
-    CHECK(of("503 Full").ending == Ending::turnedAway);
-    CHECK(of("503 Full\r\nX-Egress-Full: 1").ending == Ending::notSent);
-    CHECK(of("504 Spent").ending == Ending::notSent && !of("504 Spent").over);
-    CHECK(of("410 Over").ending == Ending::notSent && of("410 Over").over);
+    CHECK(of("503 Full").status == AttemptStatus::rejected);
+    CHECK(of("503 Full\r\nX-Egress-Full: 1").status == AttemptStatus::notForwarded);
+    CHECK(of("504 Spent").status == AttemptStatus::notForwarded && !of("504 Spent").messageFinished);
+    CHECK(of("410 Over").status == AttemptStatus::notForwarded && of("410 Over").messageFinished);
     const auto load = of("200 OK\r\nSrv-Load: x0=;x1").allowanceLeft;
     CHECK(!load && !of("200 OK\r\nSrv-Load: x0=nan,x1=-1").allowedRate);
 }
--- a/tests/laurelhaven/race_test.cpp
+++ b/tests/laurelhaven/race_test.cpp
@@ -82,7 +82,7 @@
     std::vector<net::Fd> queued;
 };
 
-decisions::HandIn message(const std::string& id) {
+decisions::Submission message(const std::string& id) {
     return {id,
             "k" + id,
             7,
@@ -279,11 +279,11 @@
                   [](const std::string&) {},
                   {},
                   {},
-                  [arrived](const decisions::HandIn&, const decisions::Verdict&) {
+                  [arrived](const decisions::Submission&, const decisions::SubmissionResult&) {
                       if (arrived) arrived();
                   }}),
           front(config, facade) {
-        facade.report(config.known, true);
+        facade.updateEndpoints(config.known, true);
     }
     ~Sender() { facade.stop(); }
     net::Fd client() const {
@@ -455,14 +455,14 @@
     decisions::Decisions facade(config, store,
                                 {[](const store::PendingNotice&) {}, [](const std::string&) {}});
     delivery::Delivery delivery(config, facade);
-    facade.report(config.known, true);
+    facade.updateEndpoints(config.known, true);
     delivery.start();
     std::promise<net::Deadline> stopped;
     onceBeforeConnect(partner.port, [&] {
         facade.stop();
         stopped.set_value(net::Steady::now());
     });
-    CHECK(facade.report(message("m")).kind == decisions::Verdict::Kind::taken);
+    CHECK(facade.submit(message("m")).kind == decisions::SubmissionResult::Kind::accepted);
     const auto at = stopped.get_future().get();
     delivery.stop();
     CHECK(net::Steady::now() - at < std::chrono::seconds(5));  // of the 9.6 that the call had
@@ -519,14 +519,14 @@
                                   {{endpoint->name, local(endpoint->port), "z", "big", 7,
                                     listing::Status::draining, 50, 0}}});
                 if (meanwhile != Meanwhile::wait) return;
-                CHECK(facade.report(message("m")).kind == decisions::Verdict::Kind::taken);
-                while (facade.out() == 0) CHECK(facade.tick());
-                const auto call = facade.pick();
-                CHECK(call->endpoint != endpoint->name && facade.begin(*call));
-                decisions::Result full;
-                full.ending = decisions::Ending::turnedAway;
+                CHECK(facade.submit(message("m")).kind == decisions::SubmissionResult::Kind::accepted);
+                while (facade.attemptsInFlight() == 0) CHECK(facade.tick());
+                const auto call = facade.takeDueAttempt();
+                CHECK(call->endpoint != endpoint->name && facade.tryBeginAttempt(*call));
+                decisions::AttemptResult full;
+                full.status = decisions::AttemptStatus::rejected;
                 full.wait = std::chrono::seconds(15);
-                facade.report(*call, full);
+                facade.recordResult(*call, full);
             });
         roster.begin();
         roster.start();
@@ -612,15 +612,15 @@
         decisions::Decisions facade(config, told,
                                     {[](const store::PendingNotice&) {}, [](const std::string&) {}});
         delivery::Delivery delivery(config, facade);
-        facade.report(config.known, true);
+        facade.updateEndpoints(config.known, true);
         delivery.start();
         std::thread ticker([&] {
             while (facade.tick()) {
             }
         });
         const auto hand = [&](const std::string& id) {
-            CHECK(facade.report(message(id)).kind == decisions::Verdict::Kind::taken);
-            await([&] { return facade.held() == 0; });
+            CHECK(facade.submit(message(id)).kind == decisions::SubmissionResult::Kind::accepted);
+            await([&] { return facade.heldMessages() == 0; });
         };
         hand("m");
         std::this_thread::sleep_for(milliseconds(30));  // the connection rests before it is used again
@@ -642,33 +642,34 @@
         {{"BALANCER_STATE", "/tmp"}});
     decisions::Decisions facade(config, told,
                                 {[](const store::PendingNotice&) {}, [](const std::string&) {}});
-    facade.report(config.known, true);
-    using decisions::Ending;
-    const std::pair<Ending, std::string> cases[] = {{Ending::delivered, "ad"},
-                                                    {Ending::turnedAway, "ao"},
-                                                    {Ending::noConnection, "ao"},
-                                                    {Ending::cancelled, "a"}};
-    std::vector<decisions::Call> calls;
+    facade.updateEndpoints(config.known, true);
+    using decisions::AttemptStatus;
+    const std::pair<AttemptStatus, std::string> cases[] = {{AttemptStatus::delivered, "ad"},
+                                                           {AttemptStatus::rejected, "ao"},
+                                                           {AttemptStatus::noConnection, "ao"},
+                                                           {AttemptStatus::cancelled, "a"}};
+    std::vector<decisions::DueAttempt> calls;
     for (int i = 0; i < 4; ++i) {
-        CHECK(facade.report(message("m" + std::to_string(i))).kind == decisions::Verdict::Kind::taken);
-        calls.push_back(*facade.pick());
+        CHECK(facade.submit(message("m" + std::to_string(i))).kind ==
+              decisions::SubmissionResult::Kind::accepted);
+        calls.push_back(*facade.takeDueAttempt());
     }
-    CHECK(facade.out() == 4);
+    CHECK(facade.attemptsInFlight() == 4);
     for (int i = 0; i < 4; ++i) {
         told.order.clear();
-        CHECK(i > 0 || facade.begin(calls[0]));
+        CHECK(i > 0 || facade.tryBeginAttempt(calls[0]));
         if (i == 0) {
-            for (int j = 1; j < 4; ++j) CHECK(facade.begin(calls[static_cast<std::size_t>(j)]));
-            facade.stopPicking();
+            for (int j = 1; j < 4; ++j) CHECK(facade.tryBeginAttempt(calls[static_cast<std::size_t>(j)]));
+            facade.stopDispatching();
             facade.stop();
         }
         told.order = "a";
-        decisions::Result result;
-        result.ending = cases[i].first;
-        facade.report(calls[static_cast<std::size_t>(i)], result);
+        decisions::AttemptResult result;
+        result.status = cases[i].first;
+        facade.recordResult(calls[static_cast<std::size_t>(i)], result);
         CHECK(told.so() == cases[i].second);
     }
-    CHECK(facade.held() == 3 && facade.out() == 0);
+    CHECK(facade.heldMessages() == 3 && facade.attemptsInFlight() == 0);
 }
 
 // Calls that no worker has taken when picking ends are out for nobody, and a stop does not wait for them.
@@ -679,18 +680,19 @@
         {{"BALANCER_STATE", "/tmp"}});
     decisions::Decisions facade(config, store,
                                 {[](const store::PendingNotice&) {}, [](const std::string&) {}});
-    facade.report(config.known, true);
+    facade.updateEndpoints(config.known, true);
     for (int i = 0; i < 3; ++i) {
-        CHECK(facade.report(message("m" + std::to_string(i))).kind == decisions::Verdict::Kind::taken);
+        CHECK(facade.submit(message("m" + std::to_string(i))).kind ==
+              decisions::SubmissionResult::Kind::accepted);
     }
-    const auto call = *facade.pick();
-    CHECK(facade.out() == 3 && facade.begin(call));
-    facade.stopPicking();
-    CHECK(facade.out() == 1 && facade.held() == 3);
-    decisions::Result full;
-    full.ending = decisions::Ending::turnedAway;
-    facade.report(call, full);
-    CHECK(facade.out() == 0 && facade.held() == 3 && !facade.pick());
+    const auto call = *facade.takeDueAttempt();
+    CHECK(facade.attemptsInFlight() == 3 && facade.tryBeginAttempt(call));
+    facade.stopDispatching();
+    CHECK(facade.attemptsInFlight() == 1 && facade.heldMessages() == 3);
+    decisions::AttemptResult full;
+    full.status = decisions::AttemptStatus::rejected;
+    facade.recordResult(call, full);
+    CHECK(facade.attemptsInFlight() == 0 && facade.heldMessages() == 3 && !facade.takeDueAttempt());
     facade.stop();
 }
 
--- a/tests/laurelhaven/shared_test.cpp
+++ b/tests/laurelhaven/shared_test.cpp
@@ -18,7 +18,7 @@
 #include "store/journal.hpp"
 
 using namespace laurelhaven;
-using decisions::Ending;
+using decisions::AttemptStatus;
 using std::chrono::milliseconds;
 
 namespace {
@@ -42,7 +42,7 @@
                  {[this](const store::PendingNotice& notice) { ++seen[number(notice.id)].noticed; },
                   [](const std::string&) {}}) {
         journal.recover();
-        facade.report(config.known, true);
+        facade.updateEndpoints(config.known, true);
     }
     /// The endpoints of a round: some of them are replaced in the next, and one destination loses its all.
     static std::string entries(int round) {
@@ -72,17 +72,17 @@
     std::mt19937 chance(static_cast<unsigned>(which));
     for (int i = 0; i < kEach; ++i) {
         const int n = which * kEach + i;
-        decisions::HandIn message;
+        decisions::Submission message;
         message.id = "m" + std::to_string(n);
         message.key = "k" + std::to_string(n);
         message.destination = 7 + chance() % kDestinations;
         message.deadline = decisions::Steady::now() + milliseconds(800 + chance() % 1200);
         message.body = std::make_shared<const std::string>("body");
         auto& seen = rig.seen[static_cast<std::size_t>(n)];
-        const auto verdict = rig.facade.report(message);
-        if (verdict.kind == decisions::Verdict::Kind::taken) {
+        const auto verdict = rig.facade.submit(message);
+        if (verdict.kind == decisions::SubmissionResult::Kind::accepted) {
             seen.taken = true;
-            if (chance() % 8 == 0) rig.facade.report(message);  // the same request once more
+            if (chance() % 8 == 0) rig.facade.submit(message);  // the same request once more
             if (chance() % 16 == 0) {
                 seen.withdrawn = true;
                 rig.facade.withdraw(message.id);
@@ -96,27 +96,28 @@
 
 void work(Rig& rig, int which) {
     std::mt19937 chance(static_cast<unsigned>(100 + which));
-    while (const auto call = rig.facade.pick()) {
+    while (const auto call = rig.facade.takeDueAttempt()) {
         auto& seen = rig.seen[static_cast<std::size_t>(Rig::number(call->id))];
         CHECK(++seen.out == 1);  // no two attempts at once
-        decisions::Result result;
-        if (rig.facade.begin(*call)) {
+        decisions::AttemptResult result;
+        if (rig.facade.tryBeginAttempt(*call)) {
             std::this_thread::sleep_for(milliseconds(chance() % 6));
-            constexpr Ending kEndings[] = {Ending::error,    Ending::turnedAway,   Ending::turnedAway,
-                                           Ending::timedOut, Ending::noConnection, Ending::reset};
-            result.ending = chance() % 4 < 3 ? Ending::delivered : kEndings[chance() % 6];
-            if (result.ending == Ending::turnedAway && chance() % 2)
+            constexpr AttemptStatus kEndings[] = {AttemptStatus::error,        AttemptStatus::rejected,
+                                                  AttemptStatus::rejected,     AttemptStatus::timedOut,
+                                                  AttemptStatus::noConnection, AttemptStatus::reset};
+            result.status = chance() % 4 < 3 ? AttemptStatus::delivered : kEndings[chance() % 6];
+            if (result.status == AttemptStatus::rejected && chance() % 2)
                 result.wait = milliseconds(chance() % 60);
-            if (result.ending == Ending::turnedAway) result.allowanceLeft = 0, result.allowedRate = 50;
+            if (result.status == AttemptStatus::rejected) result.allowanceLeft = 0, result.allowedRate = 50;
             {
                 const std::lock_guard lock(rig.books);
                 rig.paid[call->destination] += seen.due;
             }
-            seen.due = result.ending == Ending::turnedAway ? 10 : 5;
-            seen.delivered += result.ending == Ending::delivered;
+            seen.due = result.status == AttemptStatus::rejected ? 10 : 5;
+            seen.delivered += result.status == AttemptStatus::delivered;
         }
         --seen.out;
-        rig.facade.report(*call, result);
+        rig.facade.recordResult(*call, result);
     }
 }
 
@@ -131,28 +132,29 @@
     others.emplace_back([&] {
         for (int round = 1; !over; ++round) {
             std::string why;
-            rig.facade.report(*listing::parse(check::list(round + 1, true, Rig::entries(round)), why));
+            rig.facade.updateEndpoints(
+                *listing::parse(check::list(round + 1, true, Rig::entries(round)), why));
             std::this_thread::sleep_for(milliseconds(7));
         }
     });
     others.emplace_back([&] {  // what the roster and the operators read
         while (!over) {
-            for (const auto& b : rig.facade.balances()) {
+            for (const auto& b : rig.facade.retryBucketStates()) {
                 CHECK(b.tokens >= 0 && b.tokens <= b.capacity);
                 CHECK(std::abs(b.capacity + b.gained - b.spent - b.tokens) < 1e-6);
             }
-            rig.facade.standings();
-            CHECK(rig.facade.counts().held <= 600 && rig.facade.out() <= kWorkers);
-            rig.facade.demand(7);
+            rig.facade.destinationHealth();
+            CHECK(rig.facade.tableSizes().held <= 600 && rig.facade.attemptsInFlight() <= kWorkers);
+            rig.facade.pendingLoad(7);
             std::this_thread::sleep_for(milliseconds(3));
         }
     });
     for (int i = 0; i < kWorkers; ++i) workers.emplace_back([&, i] { work(rig, i); });
     for (int i = 0; i < kHanders; ++i) handers.emplace_back([&, i] { hand(rig, i); });
     for (auto& thread : handers) thread.join();
-    while (rig.facade.held() > 0) std::this_thread::sleep_for(milliseconds(5));
+    while (rig.facade.heldMessages() > 0) std::this_thread::sleep_for(milliseconds(5));
     over = true;
-    for (const auto& b : rig.facade.balances())
+    for (const auto& b : rig.facade.retryBucketStates())
         CHECK(std::abs(b.spent - rig.paid[b.destination]) <
               1e-6);  // each debit paid for a retry that went out
     rig.facade.stop();
@@ -160,7 +162,7 @@
     for (auto& thread : others) thread.join();
     double retried = 0;
     for (const auto& [destination, tokens] : rig.paid) retried += tokens;
-    CHECK(retried > 0 && rig.facade.out() == 0);
+    CHECK(retried > 0 && rig.facade.attemptsInFlight() == 0);
     int delivered = 0;
     for (const auto& s : rig.seen) {
         const int ends = s.delivered + s.noticed;
@@ -184,7 +186,7 @@
     for (int i = 0; i < kWorkers; ++i) threads.emplace_back([&, i] { work(rig, i); });
     for (int i = 0; i < kHanders; ++i) threads.emplace_back([&, i] { hand(rig, i); });
     std::this_thread::sleep_for(milliseconds(200));
-    rig.facade.stopPicking();
+    rig.facade.stopDispatching();
     rig.facade.stop();
     for (auto& thread : threads) thread.join();
     std::set<std::string> left;
--- a/tests/roster/drain_memory_test.cpp
+++ b/tests/roster/drain_memory_test.cpp
@@ -28,7 +28,7 @@
                             {{"BALANCER_STATE", state}});
 }
 
-decisions::HandIn messageFor(std::uint64_t destination) {
+decisions::Submission messageFor(std::uint64_t destination) {
     const auto id = "for-" + std::to_string(destination);
     return {id,
             "key-" + id,
@@ -60,15 +60,15 @@
     decisions::Decisions facadeAfter(configAfter, store, {});
     roster::Roster rosterAfter(configAfter, {}, facadeAfter);
     rosterAfter.begin();
-    facadeAfter.report(messageFor(7));
-    ASSERT_EQ(facadeAfter.report(messageFor(8)).kind, decisions::Verdict::Kind::taken);
+    facadeAfter.submit(messageFor(7));
+    ASSERT_EQ(facadeAfter.submit(messageFor(8)).kind, decisions::SubmissionResult::Kind::accepted);
     // Both are in doubt at first, so the call may be due a little later.
     threads::Thread ticker("tick", [&] {
         while (facadeAfter.tick()) {
         }
     });
     std::set<std::string> called;
-    while (!called.count("b")) called.insert(facadeAfter.pick()->endpoint);
+    while (!called.count("b")) called.insert(facadeAfter.takeDueAttempt()->endpoint);
     EXPECT_EQ(called, std::set<std::string>{"b"}) << "a call for the endpoint that has gone is due";
     facadeAfter.stop();
     facade.stop();
@@ -115,11 +115,11 @@
     faults::writeFailure.arm(ENOSPC);
     roster_.heard({10, true, {serving}});
     ASSERT_FALSE(written());
-    decisions::Call call;
+    decisions::DueAttempt call;
     call.endpoint = serving.name;
     call.address = serving.address;
-    decisions::Result delivered;
-    delivered.ending = decisions::Ending::delivered;
+    decisions::AttemptResult delivered;
+    delivered.status = decisions::AttemptStatus::delivered;
     roster_.answered(call, delivered);
     const auto begun = decisions::Steady::now();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));  // its thread has begun to gather by then
--- a/tests/roster/roster_test.cpp
+++ b/tests/roster/roster_test.cpp
@@ -53,12 +53,12 @@
         drained.endpoints.push_back(endpoint(name, i, listing::Status::draining));
     }
     roster.heard(all);
-    EXPECT_EQ(facade_.counts().endpoints, kDrained + 1u);
+    EXPECT_EQ(facade_.tableSizes().endpoints, kDrained + 1u);
     roster.heard(drained);
-    EXPECT_EQ(facade_.counts().endpoints, kDrained + 1u);
+    EXPECT_EQ(facade_.tableSizes().endpoints, kDrained + 1u);
     roster.heard({12, true, {endpoint("stays", 0, listing::Status::serving)}});
-    EXPECT_EQ(facade_.counts().endpoints, 1 + options.membership.tombstones);
-    EXPECT_EQ(facade_.counts().destinations, 1u);
+    EXPECT_EQ(facade_.tableSizes().endpoints, 1 + options.membership.tombstones);
+    EXPECT_EQ(facade_.tableSizes().destinations, 1u);
 }
 
 // Danger: a call may be out while the list moves its endpoint. Whoever answers like a stranger at the old
@@ -73,12 +73,12 @@
     roster.heard({11, false, {endpoint("moved", 3, serving)}});
     roster.lost();  // while discovery vouches for an endpoint, no answer says otherwise
     const auto answersLikeAStranger = [&](const listing::Endpoint& at) {
-        decisions::Call call;
+        decisions::DueAttempt call;
         call.endpoint = at.name;
         call.address = at.address;
-        decisions::Result result;
-        result.ending = decisions::Ending::error;
-        result.foreign = true;
+        decisions::AttemptResult result;
+        result.status = decisions::AttemptStatus::error;
+        result.unexpectedServer = true;
         roster.answered(call, result);
     };
     answersLikeAStranger(endpoint("moved", 1, serving));
--- a/tests/trace/trace_test.cpp
+++ b/tests/trace/trace_test.cpp
@@ -351,12 +351,12 @@
         options.flushEvery = milliseconds(5);
     }
     static void arrive(Capture& capture, int i) {
-        decisions::HandIn message;
+        decisions::Submission message;
         message.id = "m" + std::to_string(i);
         message.destination = 7;
         message.deadline = decisions::Steady::now() + std::chrono::seconds(5);
         message.body = std::make_shared<const std::string>("a body that no trace holds");
-        capture.arrived(message, {decisions::Verdict::Kind::refused, milliseconds(250)});
+        capture.arrived(message, {decisions::SubmissionResult::Kind::refused, milliseconds(250)});
     }
     std::vector<std::string> files() const {
         std::vector<std::string> all;
@@ -374,10 +374,10 @@
         Capture capture(options, config);
         capture.start();
         arrive(capture, 1);
-        decisions::Call call;
+        decisions::DueAttempt call;
         call.id = "m1", call.endpoint = "s-1", call.destination = 7, call.attempt = 2;
-        decisions::Result result;
-        result.ending = decisions::Ending::turnedAway;
+        decisions::AttemptResult result;
+        result.status = decisions::AttemptStatus::rejected;
         result.wait = milliseconds(1500);
         result.allowedRate = 4.5;
         capture.answered(call, result, milliseconds(30));
