--- a/bench/list_bench.cpp
+++ b/bench/list_bench.cpp
@@ -59,7 +59,7 @@
             entry.endpoint = endpoint(i, destinations);
             entry.index = 7;
             entry.firstListedAt = entry.confirmedAt = now - 5000;
-            entry.confirmedBy = trust::Source::discovery;
+            entry.confirmedBy = trust::ConfirmationSource::discovery;
             records.push_back(kept::encode(entry));
         }
         kept::SavedEndpointListFile file(folder, 200'000'000, "n0");
@@ -96,13 +96,13 @@
     for (int i = 0; i < kChanges; ++i) {
         auto changed = endpoint(static_cast<std::size_t>(i) * 37 % endpoints, destinations);
         changed.status = i % 2 ? listing::Status::draining : listing::Status::serving;
-        roster.heard({static_cast<std::uint64_t>(8 + i), false, {changed}});
+        roster.applyUpdate({static_cast<std::uint64_t>(8 + i), false, {changed}});
     }
     const double change = ms(std::chrono::steady_clock::now() - at) / kChanges;
     std::vector<listing::Endpoint> all;
     for (std::size_t i = 0; i < endpoints; ++i) all.push_back(endpoint(i, destinations));
     at = std::chrono::steady_clock::now();
-    roster.heard({100000, true, std::move(all)});
+    roster.applyUpdate({100000, true, std::move(all)});
     const double whole = ms(std::chrono::steady_clock::now() - at);
     at = std::chrono::steady_clock::now();
     roster.stop();
--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -52,7 +52,7 @@
          [&](const auto& call, const auto& result, auto took) { capture.answered(call, result, took); },
          {},
          [&](const auto& message, const auto& verdict) { capture.arrived(message, verdict); }});
-    listing::Listing list{1, true, {}};
+    listing::EndpointList list{1, true, {}};
     for (int i = 0; i < 8; ++i)
         list.endpoints.push_back({"s-" + std::to_string(i), "127.0.0.1:9", "quimper", "partner",
                                   static_cast<std::uint64_t>(i), listing::Status::serving, 1e9, 0});
--- a/lab/rig/world.cpp
+++ b/lab/rig/world.cpp
@@ -149,7 +149,7 @@
             entry.index = beforeIndex_;
             entry.firstListedAt = then - 3'600'000;
             entry.confirmedAt = then;
-            entry.confirmedBy = trust::Source::discovery;
+            entry.confirmedBy = trust::ConfirmationSource::discovery;
             entry.deliveries = e.weight * 100;
             records.push_back(kept::encode(entry));
         }
@@ -170,12 +170,12 @@
         };
         std::size_t at = 0;
         std::map<std::uint64_t, int> left;
-        for (const auto& e : order) ++left[e.group];
+        for (const auto& e : order) ++left[e.destination];
         // Each partner keeps one endpoint as it was: else its service would say nothing about the list.
         const auto next = [&]() -> const listing::Endpoint* {
             while (at < order.size()) {
                 const auto& e = order[at++];
-                if (left[e.group] > 1) return --left[e.group], &e;
+                if (left[e.destination] > 1) return --left[e.destination], &e;
             }
             return nullptr;
         };
@@ -188,16 +188,16 @@
         for (std::size_t i = 0; i < share(set_.readdressed); ++i)
             if (const auto* e = next()) {
                 // It has gone; another partner's new endpoint has its address.
-                auto& owner = partnerOf(e->group);
+                auto& owner = partnerOf(e->destination);
                 owner.close(e->name);
                 discovery_.remove(e->name);
                 ledger_.told(e->name, Steady::now());
                 auto fresh = *e;
-                const auto other = (e->group - 100 + 1) % static_cast<std::uint64_t>(set_.partners);
+                const auto other = (e->destination - 100 + 1) % static_cast<std::uint64_t>(set_.partners);
                 fresh.name = "r-" + e->name;
-                fresh.group = 100 + other;
+                fresh.destination = 100 + other;
                 fresh.weight = partners_[other]->model().told;
-                fresh.sinceMs = wallNow();
+                fresh.startedAtMs = wallNow();
                 partners_[other]->open(fresh.name, fresh.address);
                 discovery_.tell(fresh);
             }
@@ -206,7 +206,7 @@
     }
 
     void drain(listing::Endpoint e) {
-        partnerOf(e.group).drain(e.name);
+        partnerOf(e.destination).drain(e.name);
         e.status = listing::Status::draining;
         (moved_ ? elsewhere_ : discovery_).tell(e);
     }
@@ -221,7 +221,7 @@
             case Event::Kind::back: partners_[event.which]->up(); break;
             case Event::Kind::drain:
                 for (const auto& e : (moved_ ? elsewhere_ : discovery_).endpoints())
-                    if (e.group == 100 + event.which && e.status == listing::Status::serving) {
+                    if (e.destination == 100 + event.which && e.status == listing::Status::serving) {
                         drain(e);
                         break;
                     }
--- a/lab/standin/discovery.cpp
+++ b/lab/standin/discovery.cpp
@@ -130,7 +130,7 @@
     list["index"] = Json::UInt64(index);
     list["snapshot"] = whole;
     list["endpoints"] = Json::arrayValue;
-    for (const auto& e : endpoints) list["endpoints"].append(listing::form(e));
+    for (const auto& e : endpoints) list["endpoints"].append(listing::toJson(e));
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
     return Json::writeString(builder, list);
@@ -235,7 +235,7 @@
     for (const auto line : http::split(body, "\n")) {
         if (line.empty()) continue;
         std::string why;
-        const auto value = listing::json(line, why);
+        const auto value = listing::parseJson(line, why);
         if (!value || !(*value)["id"].isString() || !(*value)["state"].isString()) {
             good = false;
             continue;
--- a/src/commands/list.cpp
+++ b/src/commands/list.cpp
@@ -80,9 +80,9 @@
         root["endpoints"] = Json::arrayValue;
         for (const auto& entry : list.entries()) {
             const auto judged = list.assess(*entry, file.now);
-            auto one = listing::form(entry->endpoint);
+            auto one = listing::toJson(entry->endpoint);
             one["trust"] = trust::name(judged.level);
-            one["figure"] = judged.figure;
+            one["figure"] = judged.confidence;
             one["age_ms"] = Json::Int64(judged.age.count());
             one["confirmed_by"] = trust::name(entry->confirmedBy);
             one["against"] = trust::name(entry->refutation);
@@ -104,14 +104,14 @@
         return 0;
     }
     out << fmt::format("list of {} at index {}, written {} ago, half-life {}\n\n", sender, list.index(),
-                       trust::span(age), trust::span(list.halfLife()));
+                       trust::formatDuration(age), trust::formatDuration(list.halfLife()));
     out << fmt::format("{:<20} {:<21} {:>6} {:<10} {:>6} {:>12} {:<13} {:<13} {:>8}\n", "endpoint", "address",
                        "group", "trust", "figure", "age", "by", "against", "calls");
     for (const auto& entry : list.entries()) {
         const auto judged = list.assess(*entry, file.now);
         out << fmt::format("{:<20} {:<21} {:>6} {:<10} {:>6.3f} {:>12} {:<13} {:<13} {:>8.0f}\n",
-                           entry->endpoint.name, entry->endpoint.address, entry->endpoint.group,
-                           trust::name(judged.level), judged.figure, trust::span(judged.age),
+                           entry->endpoint.name, entry->endpoint.address, entry->endpoint.destination,
+                           trust::name(judged.level), judged.confidence, trust::formatDuration(judged.age),
                            trust::name(entry->confirmedBy), trust::name(entry->refutation),
                            entry->deliveries);
     }
@@ -124,11 +124,11 @@
         if (s.down)
             out << fmt::format(
                 " down, last seen {} ago;",
-                trust::span(trust::milliseconds(std::max<RecordMs>(0, file.now - s.lastOutageAt))));
+                trust::formatDuration(trust::milliseconds(std::max<RecordMs>(0, file.now - s.lastOutageAt))));
         if (s.recoveredAt > 0)
             out << fmt::format(
                 " back for {};",
-                trust::span(trust::milliseconds(std::max<RecordMs>(0, file.now - s.recoveredAt))));
+                trust::formatDuration(trust::milliseconds(std::max<RecordMs>(0, file.now - s.recoveredAt))));
         if (s.rateLimit > 0) out << fmt::format(" takes {:.2f}/s from all senders;", s.rateLimit);
         out << '\n';
     }
@@ -148,14 +148,14 @@
         return 1;
     }
     const auto judged = list.assess(*entry, file.now);
-    out << endpoint << " of destination " << entry->endpoint.group << " at " << entry->endpoint.address
+    out << endpoint << " of destination " << entry->endpoint.destination << " at " << entry->endpoint.address
         << ", told at index " << entry->index << " (the list is at " << list.index() << ")\n"
         << trust::explain(list.evidence(*entry), judged, settings.roster.membership.trust, list.halfLife())
         << '\n';
-    if (judged.until > file.now)
-        out << "time alone changes that in " << trust::span(trust::milliseconds(judged.until - file.now))
-            << '\n';
-    for (const auto* other : list.endpointsOf(entry->endpoint.group))
+    if (judged.validUntil > file.now)
+        out << "time alone changes that in "
+            << trust::formatDuration(trust::milliseconds(judged.validUntil - file.now)) << '\n';
+    for (const auto* other : list.endpointsOf(entry->endpoint.destination))
         if (other != entry)
             out << "its destination also has " << other->endpoint.name << ": "
                 << trust::name(list.assess(*other, file.now).level) << '\n';
@@ -198,8 +198,8 @@
     root["snapshot"] = true;
     root["endpoints"] = Json::arrayValue;
     for (const auto& [name, entry] : loaded.list.entries)
-        if (entry.refutation == trust::Against::nothing)
-            root["endpoints"].append(listing::form(entry.endpoint));
+        if (entry.refutation == trust::RefutationReason::none)
+            root["endpoints"].append(listing::toJson(entry.endpoint));
     out << text(root) << '\n';
     return 0;
 }
@@ -216,7 +216,7 @@
         return 2;
     }
     const auto listed = listing::parse(bytes, why);
-    if (!listed || !listed->whole) {
+    if (!listed || !listed->snapshot) {
         err << "laurelhaven: " << from
             << ": not a whole list in discovery's form: " << (listed ? "\"snapshot\" is not true" : why)
             << '\n';
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -137,7 +137,7 @@
 
 Config fromText(const std::string& json, const std::map<std::string, std::string>& environment) {
     std::string why;
-    const auto root = listing::json(json, why);
+    const auto root = listing::parseJson(json, why);
     if (!root || !root->isObject()) bad("the configuration is not a JSON object: " + why);
     // What the environment says goes before what the file says.
     const auto told = [&](const char* variable, const char* name) {
@@ -164,7 +164,7 @@
     if (c.diskBytes < 65536) bad("limits: disk_mb is too little");
     const auto& known = member(*root, "known");
     if (!known.isNull()) {
-        auto list = listing::read(known, why);
+        auto list = listing::fromJson(known, why);
         if (!list) bad("the known list of endpoints can't be read: " + why);
         c.known = std::move(*list);
     }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -26,7 +26,7 @@
     std::uint64_t seed = 0;
     std::size_t sockets = 1024, memoryMb = 192;
     std::uint64_t diskBytes = 0;
-    listing::Listing known;
+    listing::EndpointList known;
     stoathub::Settings settings;
     bool mayProbe = false;                      ///< endpoints answer probes
     std::chrono::milliseconds drainGrace{250};  ///< after which nothing goes to an endpoint told to drain
--- a/src/decisions/decisions.cpp
+++ b/src/decisions/decisions.cpp
@@ -297,7 +297,7 @@
     turn({{std::move(outcome)}});
 }
 
-void Decisions::updateEndpoints(const listing::Listing& list, bool saved) {
+void Decisions::updateEndpoints(const listing::EndpointList& list, bool saved) {
     // As for waits: what drains or goes gets nothing more, whoever holds the lock.
     const auto heardAt = Steady::now();
     for (const auto& e : list.endpoints)
@@ -305,11 +305,11 @@
     const std::lock_guard lock(mutex_);
     if (stopped_) return;
     stoathub::EndpointListUpdate news;
-    news.kind = saved        ? stoathub::ListUpdateKind::saved
-                : list.whole ? stoathub::ListUpdateKind::full
-                             : stoathub::ListUpdateKind::delta;
+    news.kind = saved           ? stoathub::ListUpdateKind::saved
+                : list.snapshot ? stoathub::ListUpdateKind::full
+                                : stoathub::ListUpdateKind::delta;
     const auto now = Steady::now();
-    if (saved || list.whole) {  // what it does not name is gone
+    if (saved || list.snapshot) {  // what it does not name is gone
         std::set<std::string_view> named;
         for (const auto& e : list.endpoints) named.insert(e.name);
         std::vector<std::string> gone;
@@ -320,7 +320,7 @@
     for (const auto& e : list.endpoints) {
         stoathub::Endpoint entry;
         entry.id = e.name;
-        entry.destination = e.group;
+        entry.destination = e.destination;
         if (e.status == listing::Status::deleted) {  // a deletion need not tell more than the name
             const auto known = endpoints_.find(e.name);
             if (known == endpoints_.end()) continue;
@@ -333,7 +333,7 @@
                       : e.status == listing::Status::draining ? stoathub::EndpointState::draining
                                                               : stoathub::EndpointState::removed;
         news.entries.push_back(std::move(entry));
-        const rules::Endpoint seen{e.address, e.group, e.status == listing::Status::serving};
+        const rules::Endpoint seen{e.address, e.destination, e.status == listing::Status::serving};
         setEndpoint(e.name, e.status == listing::Status::deleted ? nullptr : &seen, now);
     }
     forget(now);
--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -119,7 +119,7 @@
     void recordResult(const DueAttempt& call, const AttemptResult& result);
     /// The call that has begun did not leave, and is to begin once more: no attempt has been made yet.
     void attemptNotSent(const DueAttempt& call);
-    void updateEndpoints(const listing::Listing& list, bool saved = false);
+    void updateEndpoints(const listing::EndpointList& list, bool saved = false);
     void updateDestinationHealth(const std::vector<DestinationHealth>& standings);
     /// The platform knows these ends. Never waits: they are put on record with the next turn.
     void acknowledgeNotices(const std::vector<std::string>& noticed);
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -4,9 +4,9 @@
 
 namespace laurelhaven::discovery {
 
-Place Discovery::place() const {
+Location Discovery::location() const {
     const std::lock_guard lock(mutex_);
-    return {at_, left_.get_token()};
+    return {address_, moved_.get_token()};
 }
 
 // Danger: a watch on the old address may stay open and silent for seconds, and notices would wait for answers
@@ -16,9 +16,9 @@
     std::stop_source old;
     {
         const std::lock_guard lock(mutex_);
-        if (to.text == at_.text) return false;
-        at_ = to;
-        std::swap(old, left_);
+        if (to.text == address_.text) return false;
+        address_ = to;
+        std::swap(old, moved_);
     }
     old.request_stop();
     return true;
--- a/src/discovery/discovery.hpp
+++ b/src/discovery/discovery.hpp
@@ -10,22 +10,22 @@
 namespace laurelhaven::discovery {
 
 /// One address, for as long as it holds.
-struct Place {
+struct Location {
     net::Address address;
-    std::stop_token left;  ///< requested once discovery is elsewhere: what is open there is of no more use
+    std::stop_token moved;  ///< requested once discovery is elsewhere: what is open there is of no more use
 };
 
 class Discovery {
   public:
-    explicit Discovery(net::Address at) : at_(std::move(at)) {}
-    Place place() const;
+    explicit Discovery(net::Address at) : address_(std::move(at)) {}
+    Location location() const;
     /// Breaks what goes on at the old address. False where it is the same one.
     bool moveTo(const net::Address& to);
 
   private:
     mutable std::mutex mutex_;
-    net::Address at_;
-    std::stop_source left_;
+    net::Address address_;
+    std::stop_source moved_;
 };
 
 }  // namespace laurelhaven::discovery
--- a/src/kept/kept.cpp
+++ b/src/kept/kept.cpp
@@ -18,8 +18,8 @@
 
 using store::PayloadReader;
 using store::PayloadWriter;
-using trust::Against;
-using trust::Source;
+using trust::ConfirmationSource;
+using trust::RefutationReason;
 
 constexpr std::string_view kRecordMagic = "LHK1";
 constexpr std::uint64_t kFormatVersion = 1;
@@ -45,10 +45,10 @@
     e.endpoint.address = in.text();
     e.endpoint.zone = in.text();
     e.endpoint.type = in.text();
-    e.endpoint.group = in.number<std::uint64_t>();
+    e.endpoint.destination = in.number<std::uint64_t>();
     const auto status = in.number<std::uint64_t>();
     e.endpoint.weight = finite(in.real());
-    e.endpoint.sinceMs = in.number<std::int64_t>();
+    e.endpoint.startedAtMs = in.number<std::int64_t>();
     e.index = in.number<std::uint64_t>();
     e.firstListedAt = in.number<RecordMs>();
     e.confirmedAt = in.number<RecordMs>();
@@ -59,11 +59,11 @@
     e.deliveries = std::max(0.0, finite(in.real()));
     if (!in.complete() || e.endpoint.name.empty() || status > 2 || by > 3 || against > 6) return false;
     e.endpoint.status = static_cast<listing::Status>(status);
-    e.confirmedBy = static_cast<Source>(by);
-    e.refutation = static_cast<Against>(against);
-    if (e.refutation == Against::nothing) e.suspended = false;
+    e.confirmedBy = static_cast<ConfirmationSource>(by);
+    e.refutation = static_cast<RefutationReason>(against);
+    if (e.refutation == RefutationReason::none) e.suspended = false;
     // What went need not have an address; whatever may be called must.
-    return e.refutation != Against::nothing || net::address(e.endpoint.address).has_value();
+    return e.refutation != RefutationReason::none || net::address(e.endpoint.address).has_value();
 }
 
 }  // namespace
@@ -83,10 +83,10 @@
                                                 .text(e.endpoint.address)
                                                 .text(e.endpoint.zone)
                                                 .text(e.endpoint.type)
-                                                .number(e.endpoint.group)
+                                                .number(e.endpoint.destination)
                                                 .number(static_cast<int>(e.endpoint.status))
                                                 .real(e.endpoint.weight)
-                                                .number(e.endpoint.sinceMs)
+                                                .number(e.endpoint.startedAtMs)
                                                 .number(e.index)
                                                 .number(e.firstListedAt)
                                                 .number(e.confirmedAt)
@@ -180,9 +180,9 @@
                 image.writtenAt = std::max(image.writtenAt, at);
                 // Discovery stood by all of them at that moment.
                 for (auto& [id, e] : image.entries) {
-                    if (e.refutation != Against::nothing || e.confirmedAt >= at) continue;
+                    if (e.refutation != RefutationReason::none || e.confirmedAt >= at) continue;
                     e.confirmedAt = at;
-                    e.confirmedBy = Source::discovery;
+                    e.confirmedBy = ConfirmationSource::discovery;
                 }
                 return;
             }
--- a/src/listing/listing.hpp
+++ b/src/listing/listing.hpp
@@ -15,25 +15,25 @@
 
 struct Endpoint {
     std::string name, address, zone, type;
-    std::uint64_t group = 0;
+    std::uint64_t destination = 0;
     Status status = Status::serving;
     double weight = 0;
-    std::int64_t sinceMs = 0;  ///< Unix time at which it last started, in milliseconds; 0: long ago
+    std::int64_t startedAtMs = 0;  ///< Unix time at which it last started, in milliseconds; 0: long ago
     bool operator==(const Endpoint&) const = default;
 };
 
-struct Listing {
+struct EndpointList {
     std::uint64_t index = 0;
-    bool whole = false;  ///< the whole list, not only what changed
+    bool snapshot = false;  ///< the whole list, not only what changed
     std::vector<Endpoint> endpoints;
 };
 
 /// Nothing, with the reason in `why`, where the text or any entry is not of the form.
-std::optional<Listing> parse(std::string_view text, std::string& why);
-std::optional<Listing> read(const Json::Value& value, std::string& why);
-/// An endpoint as discovery writes it; read() gives the same back.
-Json::Value form(const Endpoint& endpoint);
+std::optional<EndpointList> parse(std::string_view text, std::string& why);
+std::optional<EndpointList> fromJson(const Json::Value& value, std::string& why);
+/// An endpoint as discovery writes it; fromJson() gives the same back.
+Json::Value toJson(const Endpoint& endpoint);
 /// One JSON value of the text, or nothing. Never throws.
-std::optional<Json::Value> json(std::string_view text, std::string& why);
+std::optional<Json::Value> parseJson(std::string_view text, std::string& why);
 
 }  // namespace laurelhaven::listing
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -102,7 +102,7 @@
 
     // The list and the journal share the folder, both with the copies that replace them.
     const auto listBytes =
-        own.roster.keep ? kept::listBudgetBytes(config.diskBytes, own.roster.diskShare) : 0;
+        own.roster.saveList ? kept::listBudgetBytes(config.diskBytes, own.roster.diskShare) : 0;
     clock::RecordClock recordClock(config.state);
     store::LegacyPositions positions{config.classes, config.tenants, {}};
     for (const auto& g : config.settings.messageClasses)
@@ -123,10 +123,10 @@
          },
          [&](const std::string& endpoint) { calls->closeIdle(endpoint); },
          [&](const decisions::DueAttempt& call, const decisions::AttemptResult& result, auto took) {
-             list->answered(call, result);
+             list->attemptFinished(call, result);
              capture.answered(call, result, took);
          },
-         [&](std::uint64_t destination) { list->wanted(destination); },
+         [&](std::uint64_t destination) { list->endpointNeeded(destination); },
          [&](const decisions::Submission& message, const decisions::SubmissionResult& verdict) {
              capture.arrived(message, verdict);
          }},
@@ -136,7 +136,7 @@
     calls = &delivery;
     roster::Roster roster(config, own.roster, decisions, recordClock);
     list = &roster;
-    registry::Registry registry(discovery, roster, own.registry, config.seed);
+    registry::DiscoveryWatch registry(discovery, roster, own.registry, config.seed);
     front::Front front(config, decisions);
 
     metrics::setGauge("messages_held", [&] { return static_cast<double>(decisions.heldMessages()); });
@@ -207,12 +207,12 @@
               << config.discovery.text << ", state " << config.state << '\n'
               << config.settings.slots << " slots, " << config.settings.maxHeld << " messages held at most, "
               << config.known.endpoints.size() << " endpoints known at index " << config.known.index << '\n'
-              << "kept list " << (own.roster.keep ? "on" : "off") << ", "
+              << "kept list " << (own.roster.saveList ? "on" : "off") << ", "
               << kept::listBudgetBytes(config.diskBytes, own.roster.diskShare) << " of " << config.diskBytes
               << " bytes of disk; probes "
-              << (!config.mayProbe    ? "not permitted here"
-                  : !own.roster.probe ? "off"
-                                      : "on")
+              << (!config.mayProbe            ? "not permitted here"
+                  : !own.roster.probesEnabled ? "off"
+                                              : "on")
               << '\n';
     return 0;
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,9 +7,9 @@
 
 namespace laurelhaven::membership {
 
-using trust::Against;
-using trust::Level;
-using trust::Source;
+using trust::ConfirmationSource;
+using trust::RefutationReason;
+using trust::TrustLevel;
 
 namespace {
 
@@ -21,23 +21,23 @@
 
 Entry& Membership::findOrCreate(const listing::Endpoint& told) {
     if (Entry* has = find(told.name)) {
-        if (has->endpoint.group != told.group) {
+        if (has->endpoint.destination != told.destination) {
             removeFromDestination(*has);
-            byDestination_[told.group].push_back(has);
+            byDestination_[told.destination].push_back(has);
         }
         return *has;
     }
     auto made = std::make_unique<Entry>();
     made->endpoint = told;
     Entry& entry = **entries_.insert(std::move(made)).first;
-    byDestination_[told.group].push_back(&entry);
+    byDestination_[told.destination].push_back(&entry);
     ++presentCount_;
     return entry;
 }
 
 /// Takes it from its destination's endpoints.
 void Membership::removeFromDestination(const Entry& entry) {
-    const auto it = byDestination_.find(entry.endpoint.group);
+    const auto it = byDestination_.find(entry.endpoint.destination);
     std::erase(it->second, &entry);
     if (it->second.empty()) byDestination_.erase(it);
 }
@@ -67,9 +67,9 @@
 }
 std::size_t Membership::tombstoneCount() const { return tombstoneCount_; }
 
-void Membership::refute(Entry& entry, Against why, RecordMs now, std::vector<std::string>& touched) {
+void Membership::refute(Entry& entry, RefutationReason why, RecordMs now, std::vector<std::string>& touched) {
     const bool was = entry.isTombstone();
-    if (entry.refutation == Against::nothing) changesSinceUpdate_ += 1;
+    if (entry.refutation == RefutationReason::none) changesSinceUpdate_ += 1;
     entry.refutation = why;
     entry.refutedAt = now;
     entry.suspended = false;
@@ -91,10 +91,11 @@
     auto& has = byAddress_[hashOf(entry.endpoint.address)];
     if (has && has != &entry && !has->isTombstone() && has->endpoint.address == entry.endpoint.address) {
         if (has->index > entry.index) {
-            if (entry.refutation == Against::nothing) refute(entry, Against::addressTaken, now, touched);
+            if (entry.refutation == RefutationReason::none)
+                refute(entry, RefutationReason::addressReassigned, now, touched);
             return;
         }
-        if (has->index < entry.index) refute(*has, Against::addressTaken, now, touched);
+        if (has->index < entry.index) refute(*has, RefutationReason::addressReassigned, now, touched);
     }
     has = &entry;
 }
@@ -119,7 +120,7 @@
     churn_ = churn;
 }
 
-void Membership::applyConfiguration(const listing::Listing& list, RecordMs now) {
+void Membership::applyConfiguration(const listing::EndpointList& list, RecordMs now) {
     const bool empty = entries_.empty();
     const bool newer = empty || list.index > index_;
     std::vector<std::string> touched;
@@ -135,16 +136,18 @@
         entry.endpoint = told;
         entry.index = list.index;
         if (entry.firstListedAt == 0) entry.firstListedAt = now;
-        entry.confirmedBy = Source::configuration;
+        entry.confirmedBy = ConfirmationSource::configuration;
         entry.confirmedAt = now;
         entry.suspended = false;
         if (told.status == listing::Status::serving) {
-            entry.refutation = Against::nothing;
+            entry.refutation = RefutationReason::none;
             if (was) ++presentCount_, --tombstoneCount_;
             claimAddress(entry, now, touched);
         } else {
-            refute(entry, told.status == listing::Status::draining ? Against::drained : Against::deleted, now,
-                   touched);
+            refute(entry,
+                   told.status == listing::Status::draining ? RefutationReason::drained
+                                                            : RefutationReason::deleted,
+                   now, touched);
         }
     }
     if (!newer) return;
@@ -152,7 +155,7 @@
     if (!empty)
         for (const auto& entry : entries_)
             if (!named.count(entry->endpoint.name) && !entry->isTombstone())
-                refute(*entry, Against::missing, now, touched);
+                refute(*entry, RefutationReason::missing, now, touched);
     index_ = std::max(index_, list.index);
     changesSinceUpdate_ = 0;
 }
@@ -170,18 +173,18 @@
     }
     const bool serving = told.status == listing::Status::serving;
     if (has && serving && has->isTombstone() &&
-        (has->refutation == Against::drained || has->refutation == Against::deleted ||
-         has->refutation == Against::missing)) {
+        (has->refutation == RefutationReason::drained || has->refutation == RefutationReason::deleted ||
+         has->refutation == RefutationReason::missing)) {
         // Danger: a discovery that lost its history, or an agent that is behind, lists what has drained since
         // as serving. Only what is younger may raise it: a newer index, a start after that, or a long time.
-        const bool restarted = told.sinceMs > has->refutedAt;
+        const bool restarted = told.startedAtMs > has->refutedAt;
         const bool longAgo = now - has->refutedAt > policy_.tombstoneHold.count();
         if (!(index > has->index && !lostHistory) && !restarted && !longAgo) return false;
     }
     if (!has && !serving && told.status == listing::Status::deleted) return false;
     Entry& entry = findOrCreate(told);
     const bool fresh = !has;
-    const bool same = !fresh && entry.endpoint == told && entry.refutation == Against::nothing;
+    const bool same = !fresh && entry.endpoint == told && entry.refutation == RefutationReason::none;
     const bool moved = !fresh && entry.endpoint.address != told.address && serving;
     if (fresh) entry.firstListedAt = now;
     if (moved) {
@@ -192,14 +195,15 @@
     entry.endpoint = told;
     entry.index = index;
     entry.confirmedAt = now;
-    entry.confirmedBy = Source::discovery;
+    entry.confirmedBy = ConfirmationSource::discovery;
     if (!serving) {
-        const auto why = told.status == listing::Status::draining ? Against::drained : Against::deleted;
+        const auto why =
+            told.status == listing::Status::draining ? RefutationReason::drained : RefutationReason::deleted;
         if (entry.refutation != why) refute(entry, why, now, touched);
         return true;
     }
     if (entry.isTombstone()) ++presentCount_, --tombstoneCount_;
-    entry.refutation = Against::nothing;
+    entry.refutation = RefutationReason::none;
     entry.suspended = false;
     const bool wasNamed = entry.listedNow;
     entry.listedNow = entry.listedThisRun = true;
@@ -208,11 +212,11 @@
     return !same;
 }
 
-ListUpdateResult Membership::applyUpdate(const listing::Listing& list, RecordMs now) {
+ListUpdateResult Membership::applyUpdate(const listing::EndpointList& list, RecordMs now) {
     ListUpdateResult result;
     updateChurn(now);
     const bool lower = list.index < index_;
-    if (!list.whole) {
+    if (!list.snapshot) {
         if (lower) {
             result.kind = ListUpdateResult::Kind::fullListNeeded;
             return result;
@@ -253,7 +257,7 @@
     for (const auto& entry : entries_) {
         if (named.count(entry->endpoint.name) || entry->isTombstone()) continue;
         if (entry->suspended && suspicious) continue;
-        refute(*entry, Against::missing, now, result.touched);
+        refute(*entry, RefutationReason::missing, now, result.touched);
         if (!suspicious) continue;
         entry->suspended = true;
         ++presentCount_, --tombstoneCount_;
@@ -272,7 +276,7 @@
     if (verified && !discoveryLive_) {
         discoveryLive_ = true;
         for (const auto& entry : entries_)
-            if (entry->refutation == Against::nothing) entry->listedNow = entry->listedThisRun = true;
+            if (entry->refutation == RefutationReason::none) entry->listedNow = entry->listedThisRun = true;
     }
     if (!discoveryLive_) return;
     updateChurn(now);
@@ -286,7 +290,7 @@
     for (const auto& entry : entries_) {
         if (entry->listedNow && discoverySeenAt_ > entry->confirmedAt) {
             entry->confirmedAt = discoverySeenAt_;
-            entry->confirmedBy = Source::discovery;
+            entry->confirmedBy = ConfirmationSource::discovery;
         }
         entry->listedNow = false;
     }
@@ -295,23 +299,24 @@
 /// What was watched since the last time teaches how long entries live.
 void Membership::updateChurn(RecordMs now) {
     if (discoveryLive_ && churnUpdatedAt_ > 0 && now > churnUpdatedAt_)
-        churn_.saw(static_cast<double>(presentCount_), milliseconds(now - churnUpdatedAt_),
-                   changesSinceUpdate_);
+        churn_.observe(static_cast<double>(presentCount_), milliseconds(now - churnUpdatedAt_),
+                       changesSinceUpdate_);
     churnUpdatedAt_ = now;
     changesSinceUpdate_ = 0;
 }
 
-void Membership::recordAnswer(const std::string& endpoint, Source by, RecordMs now, double calls) {
+void Membership::recordAnswer(const std::string& endpoint, ConfirmationSource by, RecordMs now,
+                              double calls) {
     Entry* entry = find(endpoint);
     if (!entry || entry->isTombstone()) return;
     entry->answeredThisRun = true;
-    if (by == Source::call) entry->deliveries += calls;
+    if (by == ConfirmationSource::delivery) entry->deliveries += calls;
     if (now < entry->confirmedAt) return;
     entry->confirmedAt = now;
     entry->confirmedBy = by;
 }
 
-bool Membership::refuteByAnswer(const std::string& endpoint, Against why, RecordMs now) {
+bool Membership::refuteByAnswer(const std::string& endpoint, RefutationReason why, RecordMs now) {
     Entry* entry = find(endpoint);
     if (!entry || entry->isTombstone() || (discoveryLive_ && entry->listedNow)) return false;
     std::vector<std::string> touched;
@@ -349,18 +354,18 @@
 
 trust::Evidence Membership::evidence(const Entry& entry) const {
     trust::Evidence e;
-    e.live = discoveryLive_ && entry.listedNow;
-    e.confirmedAt = e.live ? std::max(discoverySeenAt_, entry.confirmedAt) : entry.confirmedAt;
-    e.by = e.live ? Source::discovery : entry.confirmedBy;
-    e.against = entry.refutation;
-    e.offered = entry.answeredThisRun;
-    e.thisLife = entry.listedThisRun;
-    e.rate = entry.endpoint.weight;
+    e.listedNow = discoveryLive_ && entry.listedNow;
+    e.confirmedAt = e.listedNow ? std::max(discoverySeenAt_, entry.confirmedAt) : entry.confirmedAt;
+    e.confirmedBy = e.listedNow ? ConfirmationSource::discovery : entry.confirmedBy;
+    e.refutation = entry.refutation;
+    e.answeredThisRun = entry.answeredThisRun;
+    e.listedThisRun = entry.listedThisRun;
+    e.rateLimit = entry.endpoint.weight;
     return e;
 }
 
-trust::Judgement Membership::assess(const Entry& entry, RecordMs now) const {
-    return trust::judge(evidence(entry), policy_.trust, halfLife(), now);
+trust::TrustAssessment Membership::assess(const Entry& entry, RecordMs now) const {
+    return trust::assess(evidence(entry), policy_.trust, halfLife(), now);
 }
 
 }  // namespace laurelhaven::membership
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -42,15 +42,16 @@
     RecordMs confirmedAt = 0;  ///< but see Membership::evidence() while discovery is heard
     RecordMs refutedAt = 0;    ///< since when something speaks against it
     double deliveries = 0;     ///< calls it delivered, as far as remembered
-    trust::Source confirmedBy = trust::Source::configuration;
-    trust::Against refutation = trust::Against::nothing;
+    trust::ConfirmationSource confirmedBy = trust::ConfirmationSource::configuration;
+    trust::RefutationReason refutation = trust::RefutationReason::none;
     bool listedNow = false;        ///< discovery named it, or stood by it, on the stream that is heard now
     bool answeredThisRun = false;  ///< it delivered or answered a probe in this life
     bool listedThisRun = false;    ///< discovery named it in this life
     bool suspended = false;        ///< missing from a suspiciously small list
-    trust::Level trustLevel = trust::Level::refuted;  ///< as judged last; see Membership::judgeAll()
+    trust::TrustLevel trustLevel =
+        trust::TrustLevel::refuted;  ///< as judged last; see Membership::judgeAll()
     bool probeFirst = false;
-    bool isTombstone() const { return refutation != trust::Against::nothing && !suspended; }
+    bool isTombstone() const { return refutation != trust::RefutationReason::none && !suspended; }
 };
 
 /// Orders entries by name, and finds them by it: the name is held once.
@@ -85,24 +86,25 @@
     void restore(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn);
     /// The list of the configuration. A newer index than the kept one's replaces it; an older one adds only
     /// what no kept list could have known to be gone.
-    void applyConfiguration(const listing::Listing& list, RecordMs now);
+    void applyConfiguration(const listing::EndpointList& list, RecordMs now);
 
     // -- while it runs --
-    ListUpdateResult applyUpdate(const listing::Listing& list, RecordMs now);
+    ListUpdateResult applyUpdate(const listing::EndpointList& list, RecordMs now);
     /// Discovery is heard, and has nothing new. `verified`: its numbering is known to be ours.
     void discoverySeen(RecordMs now, bool verified);
     /// The stream ended: from now on entries age.
     void discoveryLost(RecordMs now);
     /// A call was delivered, or a probe answered, there.
-    void recordAnswer(const std::string& endpoint, trust::Source by, RecordMs now, double calls = 1);
+    void recordAnswer(const std::string& endpoint, trust::ConfirmationSource by, RecordMs now,
+                      double calls = 1);
     /// What answered at the address is not the endpoint. Passed over while discovery stands by it.
-    bool refuteByAnswer(const std::string& endpoint, trust::Against refutation, RecordMs now);
+    bool refuteByAnswer(const std::string& endpoint, trust::RefutationReason refutation, RecordMs now);
     /// Ends what is only held for a time. Returns the endpoints touched.
     std::vector<std::string> expire(RecordMs now);
 
     // -- looking --
     trust::Evidence evidence(const Entry& entry) const;
-    trust::Judgement assess(const Entry& entry, RecordMs now) const;
+    trust::TrustAssessment assess(const Entry& entry, RecordMs now) const;
     milliseconds halfLife() const { return churn_.halfLife(policy_.trust); }
     const Entry* find(const std::string& endpoint) const;
     Entry* find(const std::string& endpoint);
@@ -121,7 +123,7 @@
     void remove(const std::string& endpoint);
     bool mergeEndpoint(const listing::Endpoint& said, std::uint64_t index, RecordMs now, bool lostHistory,
                        std::vector<std::string>& touched);
-    void refute(Entry& entry, trust::Against why, RecordMs now, std::vector<std::string>& touched);
+    void refute(Entry& entry, trust::RefutationReason why, RecordMs now, std::vector<std::string>& touched);
     void claimAddress(Entry& entry, RecordMs now, std::vector<std::string>& touched);
     void removeFromDestination(const Entry& entry);
     void releaseAddress(const Entry& entry);
--- a/src/notices/notices.cpp
+++ b/src/notices/notices.cpp
@@ -66,8 +66,8 @@
                 ids.push_back(notice.id);
             }
         }
-        const auto place = discovery_.place();
-        const Answer answer = post(place, body);
+        const auto location = discovery_.location();
+        const Answer answer = post(location, body);
         static constexpr std::array<std::string_view, 4> kAnswers{"heard", "unreadable", "none", "local"};
         const auto word = kAnswers[static_cast<std::size_t>(answer)];
         metrics::counter("notice_posts_total", "answer", word).add();
@@ -89,37 +89,38 @@
             continue;
         }
         if (stopped.stop_requested()) return;
-        const std::stop_callback wake(place.left, [this] {
+        const std::stop_callback wake(location.moved, [this] {
             const std::lock_guard lock(mutex_);
             wake_.notify_all();
         });
         std::unique_lock lock(mutex_);
-        const bool moved = wake_.wait_for(lock, stopped, pause, [&] { return place.left.stop_requested(); });
+        const bool moved =
+            wake_.wait_for(lock, stopped, pause, [&] { return location.moved.stop_requested(); });
         // What this machine lacks for a moment is no reason to spare the platform.
         pause = moved || answer == Answer::local ? kFirstPause : std::min(2 * pause, kLongestPause);
     }
 }
 
 // A notice whose answer was cut off by a move is told again at the new address: told twice does no harm.
-Notices::Answer Notices::post(const discovery::Place& place, const std::string& body) {
-    if (fd_ && (at_ != place.address.text || !net::quiet(fd_.get()))) fd_.reset();
+Notices::Answer Notices::post(const discovery::Location& location, const std::string& body) {
+    if (fd_ && (at_ != location.address.text || !net::quiet(fd_.get()))) fd_.reset();
     const bool warm = static_cast<bool>(fd_);
     if (!warm) fd_ = net::tcpSocket();
-    at_ = place.address.text;
+    at_ = location.address.text;
     bool keep = false;
-    const Answer answer = fd_ ? exchange(place, body, warm, keep) : Answer::local;
+    const Answer answer = fd_ ? exchange(location, body, warm, keep) : Answer::local;
     if (!keep) fd_.reset();  // only now, when a move can't shut it any more
     return answer;
 }
 
-Notices::Answer Notices::exchange(const discovery::Place& place, const std::string& body, bool warm,
+Notices::Answer Notices::exchange(const discovery::Location& location, const std::string& body, bool warm,
                                   bool& keep) {
     const int fd = fd_.get();
     const auto until = net::Steady::now() + kAnswer;
-    const auto start = warm ? net::ConnectStart::begun : net::beginConnect(fd, place.address);
+    const auto start = warm ? net::ConnectStart::begun : net::beginConnect(fd, location.address);
     if (start == net::ConnectStart::local) return Answer::local;
     if (start != net::ConnectStart::begun) return Answer::none;
-    const std::stop_callback shutIt(place.left, [fd] { net::shut(fd); });
+    const std::stop_callback shutIt(location.moved, [fd] { net::shut(fd); });
     if (!warm && !net::connected(fd, until)) return Answer::none;
     if (net::sendAll(fd, http::request("POST", "/v1/notices", at_, {}, body), until) != net::Io::done)
         return Answer::none;
--- a/src/notices/notices.hpp
+++ b/src/notices/notices.hpp
@@ -38,8 +38,8 @@
         local  ///< this machine could not even ask
     };
     void run();
-    Answer post(const discovery::Place& place, const std::string& body);
-    Answer exchange(const discovery::Place& place, const std::string& body, bool warm, bool& keep);
+    Answer post(const discovery::Location& location, const std::string& body);
+    Answer exchange(const discovery::Location& location, const std::string& body, bool warm, bool& keep);
 
     const discovery::Discovery& discovery_;
     std::function<void(const std::vector<std::string>&)> heard_;
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -16,18 +16,20 @@
 using std::chrono::milliseconds;
 using Kind = membership::ListUpdateResult::Kind;
 
-constexpr milliseconds kConnect{1000};
-constexpr int kDeepest = 16;            // brackets in brackets: a list has four
-constexpr milliseconds kSilence{3500};  // an empty line comes every 2 s; news counts as told 6 s late at most
-constexpr milliseconds kUntold{100};    // over which the first calls after a lost watch spread at most
-constexpr milliseconds kLeastSoon{20};  // however short a drain grace, a stream that ends at once is no spin
+constexpr milliseconds kConnectTimeout{1000};
+constexpr int kMaxNesting = 16;  // brackets in brackets: a list has four
+constexpr milliseconds kSilenceTimeout{
+    3500};  // an empty line comes every 2 s; news counts as told 6 s late at most
+constexpr milliseconds kReconnectSpread{100};  // over which the first calls after a lost watch spread at most
+constexpr milliseconds kMinFirstPauseLimit{
+    20};  // however short a drain grace, a stream that ends at once is no spin
 // From one call to the next at most: what discovery tells counts 6 s after it could be reached, refused calls
 // or not, and the next call itself takes up to a second for its connect.
-constexpr milliseconds kLongest{4400};
-constexpr int kMostRounds = 8;  // of the whole fleet, over which calls are spread after refusals
+constexpr milliseconds kMaxRequestInterval{4400};
+constexpr int kMaxFleetRounds = 8;  // of the whole fleet, over which calls are spread after refusals
 
-void logNews(const listing::Listing& list) {
-    (log::info() << "registry: " << (list.whole ? "whole list" : "changes"))
+void logNews(const listing::EndpointList& list) {
+    (log::info() << "registry: " << (list.snapshot ? "whole list" : "changes"))
         .kv("index", list.index)
         .kv("entries", list.endpoints.size());
 }
@@ -44,21 +46,22 @@
 // Danger: what the machine was told counts without a watch too. The first call after a lost one goes out well
 // within the drain grace, in a fleet of any size.
 milliseconds pauseAfterLoss(const Options& options, milliseconds round, double chance) {
-    const auto soon = std::max(3 * options.drainGrace / 5, kLeastSoon);
+    const auto soon = std::max(3 * options.drainGrace / 5, kMinFirstPauseLimit);
     const auto least = std::min(options.pauseLeast, soon / 3);
-    const auto span = std::max(options.pauseLeast, std::min(round, kUntold));
+    const auto span = std::max(options.pauseLeast, std::min(round, kReconnectSpread));
     return jittered(least, std::min({span, options.pauseMost, soon - least}), chance);
 }
 
 // Danger: a discovery with more calls than it can answer answers none in time, and calls that it refuses keep
 // it so. Many senders that each ask once a second shut each other out, and none hears of a drain. So after
 // refusals they ask as seldom as they may; and no less often, as what is told counts all the same.
-milliseconds pauseAfterFailure(const Options& options, const LastCall& last, milliseconds round,
+milliseconds pauseAfterFailure(const Options& options, const LastRequest& last, milliseconds round,
                                double chance) {
-    const auto longest = std::max(options.pauseLeast, kLongest - last.took);
-    const auto mostRefused = last.refused ? std::min(kMostRounds * round, kLongest) : milliseconds{};
-    const auto most = std::max(std::min(options.pauseMost, kLongest), mostRefused);
-    auto span = std::max(options.pauseLeast, last.refused ? round : std::min(round, kUntold));
+    const auto longest = std::max(options.pauseLeast, kMaxRequestInterval - last.duration);
+    const auto mostRefused =
+        last.refused ? std::min(kMaxFleetRounds * round, kMaxRequestInterval) : milliseconds{};
+    const auto most = std::max(std::min(options.pauseMost, kMaxRequestInterval), mostRefused);
+    auto span = std::max(options.pauseLeast, last.refused ? round : std::min(round, kReconnectSpread));
     for (int i = 0; i < last.failures && span < most; ++i) span *= 2;
     span = std::min({span, most, longest});
     // The first pause spreads a fleet that was refused in one moment; the next ones keep it as it lies.
@@ -70,111 +73,113 @@
 
 }  // namespace
 
-milliseconds pauseBefore(const Options& options, const LastCall& last, double chance) {
+milliseconds reconnectPause(const Options& options, const LastRequest& last, double chance) {
     const milliseconds round(static_cast<std::int64_t>(1000.0 * options.senders / options.fleetRate));
     const bool lost = last.failures == 0 && !last.refused;
     return lost ? pauseAfterLoss(options, round, chance) : pauseAfterFailure(options, last, round, chance);
 }
 
-bool Lines::feed(std::string_view bytes, const std::function<void(const listing::Listing&)>& news,
-                 const std::function<void()>& beat) {
+bool ListStreamParser::feed(std::string_view bytes,
+                            const std::function<void(const listing::EndpointList&)>& news,
+                            const std::function<void()>& beat) {
     bool ended = false;
-    std::size_t from = rest_.size();  // no line ends before
-    rest_.append(bytes);
-    for (auto end = rest_.find('\n', from); end != std::string::npos; end = rest_.find('\n', from)) {
-        const auto line = std::string_view(rest_).substr(line_, end - line_);
+    std::size_t from = buffer_.size();  // no line ends before
+    buffer_.append(bytes);
+    for (auto end = buffer_.find('\n', from); end != std::string::npos; end = buffer_.find('\n', from)) {
+        const auto line = std::string_view(buffer_).substr(lineStart_, end - lineStart_);
         const bool blank = line.find_first_not_of(" \t\r") == std::string_view::npos;
-        if (depth_ > 0 && (blank || cut(line))) {
+        if (depth_ > 0 && (blank || startsNewObject(line))) {
             skip("an object that does not end");
-            rest_.erase(0, std::exchange(line_, 0));
+            buffer_.erase(0, std::exchange(lineStart_, 0));
             from = 0;  // the line anew, by itself
             ended = true;
             continue;
         }
         from = end + 1;
         const bool begun = depth_ > 0 || (!blank && line[line.find_first_not_of(" \t\r")] == '{');
-        if (begun) scan(line);
-        if (depth_ > 0 && depth_ < kDeepest && !quoted_) {  // it goes on in the next line
-            line_ = from;
+        if (begun) scanLine(line);
+        if (depth_ > 0 && depth_ < kMaxNesting && !inString_) {  // it goes on in the next line
+            lineStart_ = from;
             continue;
         }
-        if (!blank) object(std::string_view(rest_).substr(0, end), news);
+        if (!blank) parseObject(std::string_view(buffer_).substr(0, end), news);
         else if (beat) beat();
-        rest_.erase(0, from);
-        from = line_ = 0;
-        depth_ = 0, quoted_ = false, last_ = 0;
+        buffer_.erase(0, from);
+        from = lineStart_ = 0;
+        depth_ = 0, inString_ = false, lastNonBlank_ = 0;
         ended = true;
     }
-    if (rest_.size() > longest_) {
-        skip("a line of over " + std::to_string(longest_) + " bytes");
-        rest_.clear();
-        line_ = 0;
+    if (buffer_.size() > maxBytes_) {
+        skip("a line of over " + std::to_string(maxBytes_) + " bytes");
+        buffer_.clear();
+        lineStart_ = 0;
     }
     return ended;
 }
 
 // An object that was cut off leaves its brackets open, and would swallow what follows. One that goes on,
 // however it is indented, begins another only behind one of these signs.
-bool Lines::cut(std::string_view line) const {
-    return line.front() == '{' && last_ != ',' && last_ != '[' && last_ != ':';
+bool ListStreamParser::startsNewObject(std::string_view line) const {
+    return line.front() == '{' && lastNonBlank_ != ',' && lastNonBlank_ != '[' && lastNonBlank_ != ':';
 }
 
-void Lines::scan(std::string_view line) {
-    quoted_ = false;
+void ListStreamParser::scanLine(std::string_view line) {
+    inString_ = false;
     for (std::size_t i = 0; i < line.size(); ++i) {
         const char c = line[i];
-        if (quoted_) {
+        if (inString_) {
             if (c == '\\') ++i;
-            else quoted_ = c != '"';
+            else inString_ = c != '"';
         } else if (c == '"') {
-            quoted_ = true;
+            inString_ = true;
         } else if (c == '{' || c == '[') {
             ++depth_;
         } else if (c == '}' || c == ']') {
             --depth_;
         }
-        if (c != ' ' && c != '\t' && c != '\r') last_ = c;
+        if (c != ' ' && c != '\t' && c != '\r') lastNonBlank_ = c;
     }
 }
 
-void Lines::object(std::string_view text, const std::function<void(const listing::Listing&)>& news) {
+void ListStreamParser::parseObject(std::string_view text,
+                                   const std::function<void(const listing::EndpointList&)>& news) {
     std::string why;
     const auto list = listing::parse(text, why);
     if (!list) return skip(why.substr(0, 200));
-    if (list->whole) gap_ = false;
+    if (list->snapshot) gap_ = false;
     news(*list);
 }
 
-void Lines::skip(const std::string& why) {
+void ListStreamParser::skip(const std::string& why) {
     log::error() << "registry: skipped " << why;
     gap_ = true;
-    depth_ = 0, quoted_ = false, last_ = 0;
+    depth_ = 0, inString_ = false, lastNonBlank_ = 0;
 }
 
-void Registry::start() {
+void DiscoveryWatch::start() {
     thread_ = threads::Thread("registry", [this] { run(); });
 }
 
-void Registry::stop() {
+void DiscoveryWatch::stop() {
     stop_.request_stop();
     thread_.join();
 }
 
-milliseconds Registry::draw(const LastCall& last) {
-    return pauseBefore(options_, last, std::uniform_real_distribution<double>(0, 1)(chance_));
+milliseconds DiscoveryWatch::drawPause(const LastRequest& last) {
+    return reconnectPause(options_, last, std::uniform_real_distribution<double>(0, 1)(random_));
 }
 
-bool Registry::rest(milliseconds pause, const discovery::Place& place) {
-    const std::stop_callback wake(place.left, [this] {
+bool DiscoveryWatch::waitBeforeConnect(milliseconds pause, const discovery::Location& location) {
+    const std::stop_callback wake(location.moved, [this] {
         const std::lock_guard lock(mutex_);
         wake_.notify_all();
     });
     std::unique_lock lock(mutex_);
-    wake_.wait_for(lock, stop_.get_token(), pause, [&] { return place.left.stop_requested(); });
+    wake_.wait_for(lock, stop_.get_token(), pause, [&] { return location.moved.stop_requested(); });
     return !stop_.stop_requested();
 }
 
-void Registry::run() {
+void DiscoveryWatch::run() {
     const auto stopped = stop_.get_token();
     int failures = 0;
     bool wasSilent = false;
@@ -182,44 +187,45 @@
     // all a drain that came while the sender was dead. However young the kept list, the first call goes at
     // once.
     milliseconds pause{};
-    for (auto place = discovery_.place(); rest(pause, place);) {
+    for (auto location = discovery_.location(); waitBeforeConnect(pause, location);) {
         // A new address is asked without regard to what the old one refused: what it tells counts soon.
-        if (place.left.stop_requested()) {
-            place = discovery_.place(), failures = 0;
-            pause = draw({}) / 2;
+        if (location.moved.stop_requested()) {
+            location = discovery_.location(), failures = 0;
+            pause = drawPause({}) / 2;
             continue;
         }
         const auto begun = net::Steady::now();
-        const auto watch = follow(place, stopped);
+        const auto watch = watchOnce(location, stopped);
         const auto took = std::chrono::duration_cast<milliseconds>(net::Steady::now() - begun);
         static constexpr std::array<std::string_view, 4> kEnds{"useful", "refused", "silent", "failed"};
         metrics::counter("watches_total", "end", kEnds[static_cast<std::size_t>(watch)]).add();
-        roster_.lost();
+        roster_.streamLost();
         // What was silent took its time already: another call stands in wait for what discovery will tell.
-        failures = watch == Watch::useful || watch == Watch::silent ? 0 : failures + 1;
+        failures = watch == WatchResult::useful || watch == WatchResult::silent ? 0 : failures + 1;
         // Danger: what a silent stream misses counts as told 6 s after its last word. The silence has taken
         // most of that, so one refusal after it leaves no time to spread calls over the fleet.
-        pause = draw({failures, watch == Watch::refused && !wasSilent, took});
-        wasSilent = watch == Watch::silent;
+        pause = drawPause({failures, watch == WatchResult::refused && !wasSilent, took});
+        wasSilent = watch == WatchResult::silent;
     }
 }
 
-std::optional<Kind> Registry::fetch(const discovery::Place& place, std::stop_token stopped) {
+std::optional<Kind> DiscoveryWatch::fetchFullList(const discovery::Location& location,
+                                                  std::stop_token stopped) {
     const auto asked = roster_.index();
     net::Fd fd = net::tcpSocket();
     if (!fd) return {};
     const int raw = fd.get();
-    const auto until = net::Steady::now() + kConnect;
-    if (net::beginConnect(raw, place.address) != net::ConnectStart::begun) return {};
+    const auto until = net::Steady::now() + kConnectTimeout;
+    if (net::beginConnect(raw, location.address) != net::ConnectStart::begun) return {};
     const auto shut = [raw] { net::shut(raw); };
-    const std::stop_callback whenStopped(stopped, shut), whenLeft(place.left, shut);
+    const std::stop_callback whenStopped(stopped, shut), whenLeft(location.moved, shut);
     if (!net::connected(raw, until)) return {};
-    const auto ask = http::request("GET", "/registry/instances", place.address.text, {}, {});
+    const auto ask = http::request("GET", "/registry/instances", location.address.text, {}, {});
     if (net::sendAll(raw, ask, until) != net::Io::done) return {};
     http::Limits limits;
     limits.body = options_.longestLine;
     http::Parser parser(http::Parser::Role::response, limits);
-    const auto last = net::Steady::now() + kSilence;
+    const auto last = net::Steady::now() + kSilenceTimeout;
     while (parser.state() != http::Parser::State::complete && parser.state() != http::Parser::State::bad) {
         std::string got;
         if (net::receive(raw, got, last) != net::Io::done) break;
@@ -235,29 +241,30 @@
     }
     std::string why;
     const auto list = listing::parse(parser.message().body, why);
-    if (!list || !list->whole) {
+    if (!list || !list->snapshot) {
         log::error() << "registry: the whole list can't be read: " << why.substr(0, 200);
         return {};
     }
     logNews(*list);
-    return roster_.fetched(*list, asked).kind;
+    return roster_.applyFetchedList(*list, asked).kind;
 }
 
-Watch Registry::follow(const discovery::Place& place, std::stop_token stopped) {
+WatchResult DiscoveryWatch::watchOnce(const discovery::Location& location, std::stop_token stopped) {
     net::Fd fd = net::tcpSocket();
-    if (!fd) return Watch::failed;
+    if (!fd) return WatchResult::failed;
     const int raw = fd.get();
-    if (net::beginConnect(raw, place.address) != net::ConnectStart::begun) return Watch::failed;
+    if (net::beginConnect(raw, location.address) != net::ConnectStart::begun) return WatchResult::failed;
     const auto shut = [raw] { net::shut(raw); };
-    const std::stop_callback whenStopped(stopped, shut), whenLeft(place.left, shut);
-    if (!net::connected(raw, net::Steady::now() + kConnect)) return Watch::failed;
+    const std::stop_callback whenStopped(stopped, shut), whenLeft(location.moved, shut);
+    if (!net::connected(raw, net::Steady::now() + kConnectTimeout)) return WatchResult::failed;
     const auto target = "/registry/instances?watch=1&after=" + std::to_string(roster_.index());
-    const auto ask = http::request("GET", target, place.address.text, {}, {});
-    if (net::sendAll(raw, ask, net::Steady::now() + kConnect) != net::Io::done) return Watch::failed;
+    const auto ask = http::request("GET", target, location.address.text, {}, {});
+    if (net::sendAll(raw, ask, net::Steady::now() + kConnectTimeout) != net::Io::done)
+        return WatchResult::failed;
     http::Limits limits;
     limits.body = options_.longestLine;
     http::Parser parser(http::Parser::Role::response, limits);
-    Lines lines(options_.longestLine);
+    ListStreamParser lines(options_.longestLine);
     bool heard = false, refused = false, silent = false;
     std::atomic<bool> verified{false};  // its numbering is ours
     std::atomic<bool> asking{false};
@@ -271,7 +278,7 @@
     const auto askWhole = [&](bool thenAgain) {
         if (asking.exchange(true)) return;
         const auto fetchWhole = [&, thenAgain] {
-            const auto merged = fetch(place, over.get_token());
+            const auto merged = fetchFullList(location, over.get_token());
             if (merged) verified = true;
             asking = false;
             // The stream was asked for what comes after another version.
@@ -285,16 +292,16 @@
             net::shut(raw);
         }
     };
-    const auto news = [&](const listing::Listing& list) {
+    const auto news = [&](const listing::EndpointList& list) {
         logNews(list);
-        if (roster_.heard(list).kind == Kind::fullListNeeded) askWhole(true);
+        if (roster_.applyUpdate(list).kind == Kind::fullListNeeded) askWhole(true);
         else verified = true;
     };
     bool beaten = false;
     // Danger: a stream may fall silent within a line, or trickle bytes that never make one; what it misses
     // counts as told all the same. So only what has ended counts as a sign of life.
-    auto silentAt = net::Steady::now() + kSilence;
-    for (std::string got; !stopped.stop_requested() && !place.left.stop_requested(); got.clear()) {
+    auto silentAt = net::Steady::now() + kSilenceTimeout;
+    for (std::string got; !stopped.stop_requested() && !location.moved.stop_requested(); got.clear()) {
         const auto io = net::receive(raw, got, silentAt);
         if (io != net::Io::done) {
             silent = io == net::Io::timedOut;
@@ -312,21 +319,21 @@
         if (message.status == 200) {
             heard = heard || !message.body.empty();
             if (lines.feed(message.body, news, [&] { beaten = true; }))
-                silentAt = net::Steady::now() + kSilence;
+                silentAt = net::Steady::now() + kSilenceTimeout;
             message.body.clear();
         }
-        if (lines.gap()) askWhole(true);
+        if (lines.hasGap()) askWhole(true);
         else if (std::exchange(beaten, false)) {
             if (!verified) askWhole(false);
-            roster_.beat();
+            roster_.heartbeat();
         }
         if (state == http::Parser::State::complete) break;
     }
     over.request_stop();
     asker.join();
-    if (refused) return Watch::refused;
-    if (silent) return Watch::silent;
-    return heard && verified ? Watch::useful : Watch::failed;
+    if (refused) return WatchResult::refused;
+    if (silent) return WatchResult::silent;
+    return heard && verified ? WatchResult::useful : WatchResult::failed;
 }
 
 }  // namespace laurelhaven::registry
--- a/src/roster/roster.hpp
+++ b/src/roster/roster.hpp
@@ -27,13 +27,13 @@
 using std::chrono::milliseconds;
 
 struct Options {
-    bool keep = true;                ///< a list is kept on disk
+    bool saveList = true;            ///< a list is kept on disk
     double diskShare = 0.06;         ///< of the state folder's bytes, both copies counted
     milliseconds writeEvery{1'000};  ///< at most one write in this time
     milliseconds confirmEvery{
         10'000};  ///< how often discovery's silence that nothing changed is written down
     milliseconds outageMemory{300'000};  ///< a partner seen down longer ago is only in doubt
-    bool probe = true;                   ///< where the platform permits it
+    bool probesEnabled = true;           ///< where the platform permits it
     milliseconds probeTimeout{400};
     double strangerFactor = 2;  ///< a limit told by a probe, off by more, is another partner's
     membership::Policy membership;
@@ -57,20 +57,20 @@
     bool flush();
 
     // -- from the watch --
-    membership::ListUpdateResult heard(const listing::Listing& list);
+    membership::ListUpdateResult applyUpdate(const listing::EndpointList& list);
     /// A whole list that was asked for when the index was `asked`. One that is older than what came meanwhile
     /// is passed over.
-    membership::ListUpdateResult fetched(const listing::Listing& list, std::uint64_t asked);
+    membership::ListUpdateResult applyFetchedList(const listing::EndpointList& list, std::uint64_t asked);
     /// A line without news came.
-    void beat();
+    void heartbeat();
     /// The stream was confirmed to count as we do, or ended.
-    void verified();
-    void lost();
+    void streamVerified();
+    void streamLost();
     std::uint64_t index() const;
 
     // -- from the facade, under its lock: these only leave word --
-    void answered(const decisions::DueAttempt& call, const decisions::AttemptResult& result);
-    void wanted(std::uint64_t destination);
+    void attemptFinished(const decisions::DueAttempt& call, const decisions::AttemptResult& result);
+    void endpointNeeded(std::uint64_t destination);
 
     struct Counts {
         std::size_t confirmed = 0, ageing = 0, stale = 0, refuted = 0;
@@ -80,52 +80,52 @@
     Counts counts() const;
 
   private:
-    struct Word {  // what came in about one endpoint, at one address
+    struct EndpointOutcomes {  // what came in about one endpoint, at one address
         std::string address;
         double delivered = 0;
-        bool foreign = false;
+        bool unexpectedServer = false;
     };
     using Steady = std::chrono::steady_clock;
 
-    membership::ListUpdateResult merge(const listing::Listing& list);
+    membership::ListUpdateResult merge(const listing::EndpointList& list);
     void run();
-    void readKept(trust::RecordMs now);
-    void judge(membership::Entry& entry, trust::RecordMs now, std::vector<listing::Endpoint>& news);
-    void judgeAll(trust::RecordMs now);
-    void judgeSome(const std::vector<std::string>& endpoints, trust::RecordMs now);
-    void tell(const std::unordered_set<std::uint64_t>& destinations, std::vector<listing::Endpoint> news,
-              bool saved = false);
-    void weighDoubts(const std::unordered_set<std::uint64_t>& destinations,
-                     std::vector<decisions::DestinationHealth>& told);
-    void takeWord(std::unordered_map<std::string, Word> word);
-    std::vector<trust::Candidate> candidates() const;
-    void probe(const std::string& endpoint);
-    bool mayProbe(const std::string& endpoint, const std::string& at) const;
-    void dirty(const std::string& endpoint);
+    void loadSavedList(trust::RecordMs now);
+    void reassess(membership::Entry& entry, trust::RecordMs now, std::vector<listing::Endpoint>& news);
+    void reassessAll(trust::RecordMs now);
+    void reassessEndpoints(const std::vector<std::string>& endpoints, trust::RecordMs now);
+    void publish(const std::unordered_set<std::uint64_t>& destinations, std::vector<listing::Endpoint> news,
+                 bool saved = false);
+    void updateUnconfirmed(const std::unordered_set<std::uint64_t>& destinations,
+                           std::vector<decisions::DestinationHealth>& told);
+    void applyOutcomes(std::unordered_map<std::string, EndpointOutcomes> word);
+    std::vector<trust::ProbeCandidate> probeCandidates() const;
+    void probeEndpoint(const std::string& endpoint);
+    bool probeStillAllowed(const std::string& endpoint, const std::string& at) const;
+    void markUnsaved(const std::string& endpoint);
     void write(trust::RecordMs now);
-    std::vector<kept::DestinationHealth> changedStandings(trust::RecordMs now);
-    void writeAnew(trust::RecordMs now);
+    std::vector<kept::DestinationHealth> changedDestinationHealth(trust::RecordMs now);
+    void rewriteFile(trust::RecordMs now);
 
     const config::Config& config_;
     Options options_;
     decisions::Decisions& decisions_;
     clock::RecordClock& recordClock_;
 
-    mutable std::mutex work_;  // the list; held while the facade is told, never the other way round
+    mutable std::mutex listMutex_;  // the list; held while the facade is told, never the other way round
     membership::Membership list_;
     std::unique_ptr<kept::SavedEndpointListFile> file_;
-    trust::Probes probes_;
-    std::unordered_set<std::string> stale_, dirty_;
-    std::unordered_set<std::uint64_t> doubted_;
-    std::unordered_map<std::uint64_t, kept::DestinationHealth> standings_;  // as written
+    trust::ProbeScheduler probes_;
+    std::unordered_set<std::string> awaitingProbe_, unsaved_;
+    std::unordered_set<std::uint64_t> unconfirmed_;
+    std::unordered_map<std::uint64_t, kept::DestinationHealth> savedHealth_;  // as written
     trust::RecordMs healthKnownUntil_ = 0;
-    bool longAbsence_ = false, begun_ = false, rewrite_ = true;
-    Steady::time_point judgeAt_{}, writeAt_{}, markAt_{}, writtenAt_{};
+    bool longAbsence_ = false, begun_ = false, rewriteNeeded_ = true;
+    Steady::time_point reassessAt_{}, writeAt_{}, nextMarkAt_{}, lastWriteAt_{};
     std::uint64_t probesAnswered_ = 0, writes_ = 0;
 
-    std::mutex inbox_;
+    std::mutex outcomesMutex_;
     std::condition_variable_any wake_;
-    std::unordered_map<std::string, Word> word_;
+    std::unordered_map<std::string, EndpointOutcomes> outcomes_;
     bool urgent_ = false;
     std::stop_source stop_;
     threads::Thread thread_;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -20,7 +20,7 @@
     if (!level.empty()) s.level = *log::level(level);
     if (format == "json") s.format = log::Format::json;
     auto& members = s.roster.membership;
-    kept.plain("enabled", s.roster.keep)
+    kept.plain("enabled", s.roster.saveList)
         .take("disk-share", s.roster.diskShare, yaml::share)
         .take("write-every", s.roster.writeEvery, yaml::time)
         .take("confirm-every", s.roster.confirmEvery, yaml::time)
@@ -44,7 +44,7 @@
         .take("shrink-share", members.shrinkShare, yaml::share)
         .plain("shrink-least", members.shrinkLeast)
         .take("shrink-hold", members.shrinkHold, yaml::time);
-    probes.plain("enabled", s.roster.probe)
+    probes.plain("enabled", s.roster.probesEnabled)
         .take("rate", s.roster.probes.perSecond, yaml::rate)
         .take("cold-share", s.roster.probes.coldShare, yaml::share)
         .take("jitter", s.roster.probes.jitter, yaml::time)
@@ -99,9 +99,9 @@
 
 void fit(Settings& s, const config::Config& config) {
     const auto& platform = config.settings;
-    s.roster.membership.trust.mayProbe = config.mayProbe && s.roster.probe;
+    s.roster.membership.trust.mayProbe = config.mayProbe && s.roster.probesEnabled;
     s.roster.membership.trust.senders = platform.senders;
-    s.roster.membership.trust.probeSpan = s.roster.probes.jitter;
+    s.roster.membership.trust.probeSpread = s.roster.probes.jitter;
     s.roster.probes.senders = platform.senders;
     s.registry.senders = platform.senders;
     s.registry.drainGrace = config.drainGrace;
--- a/src/trust/probes.hpp
+++ b/src/trust/probes.hpp
@@ -12,7 +12,7 @@
 
 namespace laurelhaven::trust {
 
-using Moment = std::chrono::steady_clock::time_point;
+using TimePoint = std::chrono::steady_clock::time_point;
 using std::chrono::milliseconds;
 
 struct ProbePolicy {
@@ -26,50 +26,50 @@
 };
 
 /// An endpoint that only a probe could confirm.
-struct Candidate {
+struct ProbeCandidate {
     std::string endpoint;
     std::uint64_t destination = 0;
-    double rate = 0;       ///< told calls a second of the destination; 0: not known
-    std::size_t held = 0;  ///< messages that wait for the destination now
-    double traffic = 0;    ///< calls that it got in the past, as far as remembered
-    Moment holdUntil{};    ///< a told wait: no probe before
-    bool served = true;    ///< another endpoint of the destination gets messages
+    double rateLimit = 0;             ///< told calls a second of the destination; 0: not known
+    std::size_t waitingMessages = 0;  ///< messages that wait for the destination now
+    double traffic = 0;               ///< calls that it got in the past, as far as remembered
+    TimePoint waitUntil{};            ///< a told wait: no probe before
+    bool destinationUsable = true;    ///< another endpoint of the destination gets messages
 };
 
-class Probes {
+class ProbeScheduler {
   public:
-    Probes(const ProbePolicy& policy, std::uint64_t seed) : policy_(policy), chance_(seed) {}
+    ProbeScheduler(const ProbePolicy& policy, std::uint64_t seed) : policy_(policy), random_(seed) {}
     /// The moment that the jitter of the first probes counts from. A destination for which a message waits is
     /// jittered by a fifth of it only.
-    void begin(Moment now) { begun_ = now; }
+    void begin(TimePoint now) { startedAt_ = now; }
 
     /// What is to be probed now, if anything; else when to ask again (nothing: not before something changes).
     struct Next {
         std::optional<std::string> endpoint;
-        std::optional<Moment> at;
+        std::optional<TimePoint> checkAgainAt;
     };
-    Next next(const std::vector<Candidate>& candidates, Moment now);
-    void answered(const std::string& endpoint, bool good, Moment now);
+    Next next(const std::vector<ProbeCandidate>& candidates, TimePoint now);
+    void recordAnswer(const std::string& endpoint, bool good, TimePoint now);
     /// Forgets what is no candidate any more, so that the tables stay as small as the list.
-    void forget(const std::vector<Candidate>& candidates);
+    void retain(const std::vector<ProbeCandidate>& candidates);
 
     std::uint64_t sent() const { return sent_; }
 
   private:
-    struct Try {
-        int inVain = 0;
-        Moment notBefore{};
-        bool drawn = false;
-        double spread = 0;  // its part of the jitter
+    struct ProbeHistory {
+        int failures = 0;
+        TimePoint notBefore{};
+        bool jitterDrawn = false;
+        double jitterShare = 0;  // its part of the jitter
     };
-    Moment due(const Candidate& c);
+    TimePoint earliestProbe(const ProbeCandidate& c);
 
     ProbePolicy policy_;
-    std::mt19937_64 chance_;
-    Moment begun_{};
-    Moment senderNext_{};
-    std::map<std::uint64_t, Moment> destinationLast_;
-    std::map<std::string, Try> tries_;
+    std::mt19937_64 random_;
+    TimePoint startedAt_{};
+    TimePoint nextSenderProbeAt_{};
+    std::map<std::uint64_t, TimePoint> lastProbeAt_;
+    std::map<std::string, ProbeHistory> history_;
     std::uint64_t sent_ = 0;
 };
 
--- a/src/trust/trust.hpp
+++ b/src/trust/trust.hpp
@@ -12,17 +12,25 @@
 using std::chrono::milliseconds;
 
 /// Who confirmed an entry last.
-enum class Source : std::uint8_t { configuration, discovery, call, probe };
-const char* name(Source source);
+enum class ConfirmationSource : std::uint8_t { configuration, discovery, delivery, probe };
+const char* name(ConfirmationSource source);
 
 /// What is done with an endpoint: as today; offered at a capped pace; nothing before a probe or discovery
 /// confirms it; nothing until discovery names it.
-enum class Level : std::uint8_t { confirmed, ageing, stale, refuted };
-const char* name(Level level);
+enum class TrustLevel : std::uint8_t { confirmed, ageing, stale, refuted };
+const char* name(TrustLevel level);
 
 /// Why an entry is not believed whatever its age.
-enum class Against : std::uint8_t { nothing, drained, deleted, missing, addressTaken, otherPartner, notOurs };
-const char* name(Against against);
+enum class RefutationReason : std::uint8_t {
+    none,
+    drained,
+    deleted,
+    missing,
+    addressReassigned,
+    rateLimitMismatch,
+    unexpectedServer
+};
+const char* name(RefutationReason refutation);
 
 struct Policy {
     milliseconds confirmedFor{30'000};          ///< a confirmation holds in full for so long
@@ -36,26 +44,26 @@
     milliseconds configuredAge{600'000};        ///< taken as the age of a list in the configuration
     bool mayProbe = false;                      ///< the platform permits probes
     int senders = 1;                            ///< that hold such a list
-    milliseconds probeSpan{400};                ///< within which those that restart together probe
+    milliseconds probeSpread{400};              ///< within which those that restart together probe
 };
 
 struct Evidence {
     RecordMs confirmedAt = 0;
-    Source by = Source::configuration;
-    Against against = Against::nothing;
-    bool live = false;      ///< discovery is heard now, and names it
-    bool offered = false;   ///< it has delivered or answered a probe in this life
-    bool thisLife = false;  ///< discovery has named it in this life
-    double rate = 0;        ///< told calls a second of its destination; 0: not known
+    ConfirmationSource confirmedBy = ConfirmationSource::configuration;
+    RefutationReason refutation = RefutationReason::none;
+    bool listedNow = false;        ///< discovery is heard now, and names it
+    bool answeredThisRun = false;  ///< it has delivered or answered a probe in this life
+    bool listedThisRun = false;    ///< discovery has named it in this life
+    double rateLimit = 0;          ///< told calls a second of its destination; 0: not known
 };
 
-struct Judgement {
-    Level level = Level::stale;
-    double figure = 0;        ///< chance that the entry still holds, in [0, 1]
+struct TrustAssessment {
+    TrustLevel level = TrustLevel::stale;
+    double confidence = 0;    ///< chance that the entry still holds, in [0, 1]
     milliseconds age{};       ///< since the confirmation; 0 where that lies in the future
     bool probeFirst = false;  ///< nothing before a probe, whatever the level: what befell it went unseen
-    bool oneByOne = false;    ///< ageing in the place of a probe: the destination is in doubt
-    RecordMs until = 0;       ///< when time alone changes the level; 0: never
+    bool oneAtATime = false;  ///< ageing in the place of a probe: the destination is in doubt
+    RecordMs validUntil = 0;  ///< when time alone changes the level; 0: never
 };
 
 /// The half-life of an entry in a fleet, learnt from how many entries changed in how long. The posterior mean
@@ -64,7 +72,7 @@
 class Churn {
   public:
     /// `entries` entries were watched for a span in which `changes` of them drained, went or moved.
-    void saw(double entries, milliseconds span, double changes);
+    void observe(double entries, milliseconds span, double changes);
     milliseconds halfLife(const Policy& policy) const;
     double entrySeconds() const { return entrySeconds_; }
     double changes() const { return changes_; }
@@ -76,13 +84,13 @@
 
 /// A clock that was set back makes a confirmation lie in the future: its age is unknown then, and the entry
 /// is judged as if it were as old as a list in the configuration.
-Judgement judge(const Evidence& evidence, const Policy& policy, milliseconds halfLife, RecordMs now);
+TrustAssessment assess(const Evidence& evidence, const Policy& policy, milliseconds halfLife, RecordMs now);
 
 /// One sentence for people: why, and what would change it.
-std::string explain(const Evidence& evidence, const Judgement& judgement, const Policy& policy,
+std::string explain(const Evidence& evidence, const TrustAssessment& judgement, const Policy& policy,
                     milliseconds halfLife);
 
 /// "3 d 4 h", "5 min 2 s", "250 ms".
-std::string span(milliseconds time);
+std::string formatDuration(milliseconds time);
 
 }  // namespace laurelhaven::trust
--- a/tests/fuzz/kept_fuzz.cpp
+++ b/tests/fuzz/kept_fuzz.cpp
@@ -13,8 +13,8 @@
     list.applyConfiguration({}, kNow);
     for (const auto& entry : list.entries()) {
         const auto judged = list.assess(*entry, kNow);
-        if (!(judged.figure >= 0 && judged.figure <= 1)) __builtin_trap();
-        if (entry->isTombstone() && judged.level != trust::Level::refuted) __builtin_trap();
+        if (!(judged.confidence >= 0 && judged.confidence <= 1)) __builtin_trap();
+        if (entry->isTombstone() && judged.level != trust::TrustLevel::refuted) __builtin_trap();
         // What is written of it can be read again, and is the same.
         const auto again = kept::parse(kept::encodeHeader("n", kNow) + kept::encode(*entry), "n", kNow);
         if (again.list.entries.size() != 1 ||
--- a/tests/fuzz/registry_fuzz.cpp
+++ b/tests/fuzz/registry_fuzz.cpp
@@ -21,15 +21,15 @@
     http::Limits limits;
     limits.body = 1 << 16;
     http::Parser parser(http::Parser::Role::response, limits);
-    registry::Lines lines(1 << 16);
+    registry::ListStreamParser lines(1 << 16);
     membership::Membership list({});
-    const auto merge = [&](const listing::Listing& news) {
+    const auto merge = [&](const listing::EndpointList& news) {
         list.applyUpdate(news, now += 100);
         for (const auto& e : news.endpoints) {
             if (e.status == listing::Status::serving) continue;
             const auto* entry = list.find(e.name);
             if (entry && news.endpoints.back().name == e.name &&
-                list.assess(*entry, now).level != trust::Level::refuted)
+                list.assess(*entry, now).level != trust::TrustLevel::refuted)
                 __builtin_trap();
         }
     };
--- a/tests/kept/kept_test.cpp
+++ b/tests/kept/kept_test.cpp
@@ -22,7 +22,7 @@
 constexpr RecordMs kNow = 1'800'000'000'000;
 constexpr std::uint64_t kBudget = 64 * 1024;
 
-membership::Entry entry(int i, trust::Against against = trust::Against::nothing) {
+membership::Entry entry(int i, trust::RefutationReason against = trust::RefutationReason::none) {
     membership::Entry e;
     e.endpoint = {"s-" + std::to_string(i),
                   "127.0.0.1:" + std::to_string(1000 + i),
@@ -35,7 +35,7 @@
     e.index = 40 + static_cast<std::uint64_t>(i);
     e.firstListedAt = kNow - 5000;
     e.confirmedAt = kNow - 1000;
-    e.confirmedBy = trust::Source::call;
+    e.confirmedBy = trust::ConfirmationSource::delivery;
     e.refutation = against;
     e.deliveries = i;
     return e;
@@ -61,26 +61,26 @@
     EXPECT_EQ(e.endpoint, entry(3).endpoint);
     EXPECT_EQ(e.index, 43u);
     EXPECT_EQ(e.confirmedAt, kNow - 1000);
-    EXPECT_EQ(e.confirmedBy, trust::Source::call);
+    EXPECT_EQ(e.confirmedBy, trust::ConfirmationSource::delivery);
     EXPECT_EQ(e.deliveries, 3);
     EXPECT_EQ(loaded.list.destinationHealth.at(7), (kept::DestinationHealth{7, true, 0, kNow - 100, 4.5}));
 }
 
 TEST(Kept, LaterRecordsReplaceAndRemove) {
     auto text = sample();
-    auto gone = entry(1, trust::Against::drained);
+    auto gone = entry(1, trust::RefutationReason::drained);
     text += kept::encode(gone) + kept::encodeRemoval("s-2");
     const auto loaded = kept::parse(text, "n0", kNow);
-    EXPECT_EQ(loaded.list.entries.at("s-1").refutation, trust::Against::drained);
+    EXPECT_EQ(loaded.list.entries.at("s-1").refutation, trust::RefutationReason::drained);
     EXPECT_FALSE(loaded.list.entries.count("s-2"));
 }
 
 TEST(Kept, AMarkConfirmsWhatStoodThenAndNothingThatIsGone) {
-    auto text = sample() + kept::encode(entry(1, trust::Against::drained)) +
+    auto text = sample() + kept::encode(entry(1, trust::RefutationReason::drained)) +
                 kept::encodeListState(78, 2, {}, kNow - 10);
     const auto loaded = kept::parse(text, "n0", kNow);
     EXPECT_EQ(loaded.list.entries.at("s-0").confirmedAt, kNow - 10);
-    EXPECT_EQ(loaded.list.entries.at("s-0").confirmedBy, trust::Source::discovery);
+    EXPECT_EQ(loaded.list.entries.at("s-0").confirmedBy, trust::ConfirmationSource::discovery);
     EXPECT_EQ(loaded.list.entries.at("s-1").confirmedAt, kNow - 1000);
 }
 
@@ -149,7 +149,7 @@
         const auto loaded = kept::parse(bad, "n0", kNow);
         EXPECT_LE(loaded.list.entries.size(), 20u);
         for (const auto& [name, e] : loaded.list.entries)
-            EXPECT_TRUE(e.refutation != trust::Against::nothing || net::address(e.endpoint.address));
+            EXPECT_TRUE(e.refutation != trust::RefutationReason::none || net::address(e.endpoint.address));
     }
 }
 
--- a/tests/laurelhaven/parser_test.cpp
+++ b/tests/laurelhaven/parser_test.cpp
@@ -134,24 +134,24 @@
     const auto whole = check::list(41, true, check::entry("a", "127.0.0.1:80", 3));
     const auto change = check::list(43, false, check::entry("a", "127.0.0.1:80", 3, "DRAINING"));
     for (int round = 0; round < 500; ++round) {
-        registry::Lines lines;
-        std::vector<listing::Listing> heard;
+        registry::ListStreamParser lines;
+        std::vector<listing::EndpointList> heard;
         int beats = 0;
-        const auto keep = [&](const listing::Listing& list) { heard.push_back(list); };
+        const auto keep = [&](const listing::EndpointList& list) { heard.push_back(list); };
         check::inCuts("\n" + whole + "\r\n\n" + change + "\n" + change + "\n", chance,
                       [&](std::string_view part) { lines.feed(part, keep, [&] { ++beats; }); });
-        CHECK(heard.size() == 3 && beats == 2 && !lines.gap());
-        CHECK(heard[0].whole && heard[0].endpoints[0].group == 3);
+        CHECK(heard.size() == 3 && beats == 2 && !lines.hasGap());
+        CHECK(heard[0].snapshot && heard[0].endpoints[0].destination == 3);
         CHECK(heard[1].endpoints[0].status == listing::Status::draining);
         // A line that can't be read is skipped and leaves a gap; the next one is read all the same.
         lines.feed(check::list(44, false, "{}") + "\n" + check::list(45, false, "") + "\n", keep);
-        CHECK(lines.gap() && heard.size() == 4 && heard[3].index == 45);
+        CHECK(lines.hasGap() && heard.size() == 4 && heard[3].index == 45);
         lines.feed(check::garbage(chance, change) + "\n" + std::string(round, '[') + "\n", keep);
     }
     for (const char bracket : {'[', '{'}) {
-        registry::Lines deep;
-        deep.feed(std::string(100000, bracket) + "\n", [](const listing::Listing&) { CHECK(false); });
-        CHECK(deep.gap());
+        registry::ListStreamParser deep;
+        deep.feed(std::string(100000, bracket) + "\n", [](const listing::EndpointList&) { CHECK(false); });
+        CHECK(deep.hasGap());
     }
 }
 
@@ -177,26 +177,26 @@
         return text + "\n";
     };
     for (int round = 0; round < 300; ++round) {
-        registry::Lines lines;
-        std::vector<listing::Listing> heard;
+        registry::ListStreamParser lines;
+        std::vector<listing::EndpointList> heard;
         int beats = 0;
-        const auto keep = [&](const listing::Listing& list) { heard.push_back(list); };
+        const auto keep = [&](const listing::EndpointList& list) { heard.push_back(list); };
         check::inCuts(wide("") + "\n" + wide("  ") + change + "\n" + wide("\t") + "\r\n", chance,
                       [&](std::string_view part) {
                           const auto before = heard.size() + static_cast<std::size_t>(beats);
                           const bool ended = lines.feed(part, keep, [&] { ++beats; });
                           CHECK(ended == (heard.size() + static_cast<std::size_t>(beats) > before));
                       });
-        CHECK(heard.size() == 4 && beats == 2 && !lines.gap());
+        CHECK(heard.size() == 4 && beats == 2 && !lines.hasGap());
         for (const auto& list : heard) CHECK(list.endpoints.at(0).name == "a{[\"");
         // Cut anywhere, then a beat or another list, of either form.
         const auto whole = wide("  ");
         const auto cut = whole.substr(0, 1 + check::below(chance, whole.size() - 3));
         lines.feed(cut + "\n" + (round % 2 ? "\n" : "") + change + "\n" + wide(" "), keep);
-        CHECK(lines.gap() && heard.size() >= 5 && heard.back().index == 43);
+        CHECK(lines.hasGap() && heard.size() >= 5 && heard.back().index == 43);
         if (round % 2) CHECK(heard.size() == 6);
         lines.feed("\n" + check::list(44, true, "") + "\n", keep);
-        CHECK(!lines.gap());
+        CHECK(!lines.hasGap());
     }
 }
 
--- a/tests/laurelhaven/race_test.cpp
+++ b/tests/laurelhaven/race_test.cpp
@@ -503,7 +503,7 @@
         decisions::Decisions facade(config, store,
                                     {[](const store::PendingNotice&) {}, [](const std::string&) {}});
         roster::Options options;
-        options.keep = false;
+        options.saveList = false;
         options.probeTimeout = std::chrono::seconds(20);
         options.membership.trust.mayProbe = true;
         roster::Roster roster(config, options, facade);
@@ -514,10 +514,10 @@
                 if (++probes == 1) return;  // that one gets messages from then on
                 second = endpoint;
                 if (meanwhile == Meanwhile::drain)
-                    roster.heard({9,
-                                  false,
-                                  {{endpoint->name, local(endpoint->port), "z", "big", 7,
-                                    listing::Status::draining, 50, 0}}});
+                    roster.applyUpdate({9,
+                                        false,
+                                        {{endpoint->name, local(endpoint->port), "z", "big", 7,
+                                          listing::Status::draining, 50, 0}}});
                 if (meanwhile != Meanwhile::wait) return;
                 CHECK(facade.submit(message("m")).kind == decisions::SubmissionResult::Kind::accepted);
                 while (facade.attemptsInFlight() == 0) CHECK(facade.tick());
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -15,9 +15,9 @@
 using membership::ListUpdateResult;
 using membership::Membership;
 using std::chrono::milliseconds;
-using trust::Against;
-using trust::Level;
 using trust::RecordMs;
+using trust::RefutationReason;
+using trust::TrustLevel;
 
 constexpr RecordMs kNow = 1'800'000'000'000;
 
@@ -25,39 +25,39 @@
                            Status status = Status::serving) {
     return {name, address, "z", "big", group, status, 4, 0};
 }
-listing::Listing list(std::uint64_t index, bool whole, std::vector<listing::Endpoint> endpoints) {
+listing::EndpointList list(std::uint64_t index, bool whole, std::vector<listing::Endpoint> endpoints) {
     return {index, whole, std::move(endpoints)};
 }
-listing::Listing fleet(std::uint64_t index, int n) {
+listing::EndpointList fleet(std::uint64_t index, int n) {
     std::vector<listing::Endpoint> all;
     for (int i = 0; i < n; ++i)
         all.push_back(endpoint("e" + std::to_string(i), "127.0.0.1:" + std::to_string(1000 + i)));
     return list(index, true, std::move(all));
 }
 Entry kept(const std::string& name, const std::string& address, std::uint64_t index, milliseconds ago,
-           Against against = Against::nothing) {
+           RefutationReason against = RefutationReason::none) {
     Entry e;
     e.endpoint = endpoint(name, address);
     e.index = index;
     e.confirmedAt = e.firstListedAt = kNow - ago.count();
-    e.confirmedBy = trust::Source::discovery;
+    e.confirmedBy = trust::ConfirmationSource::discovery;
     e.refutation = against;
-    if (against != Against::nothing) e.refutedAt = e.confirmedAt;
+    if (against != RefutationReason::none) e.refutedAt = e.confirmedAt;
     return e;
 }
-Level level(const Membership& m, const std::string& name, RecordMs now = kNow) {
+TrustLevel level(const Membership& m, const std::string& name, RecordMs now = kNow) {
     const auto* e = m.find(name);
-    return e ? m.assess(*e, now).level : Level::refuted;
+    return e ? m.assess(*e, now).level : TrustLevel::refuted;
 }
 bool usable(const Membership& m, const std::string& name, RecordMs now = kNow) {
     const auto l = level(m, name, now);
-    return l == Level::confirmed || l == Level::ageing;
+    return l == TrustLevel::confirmed || l == TrustLevel::ageing;
 }
 
 TEST(Membership, WhatDrainedInTheLastLifeIsNotRaisedByTheConfiguration) {
     Membership m({});
     m.restore(41, 0, {});
-    m.restore(kept("a", "127.0.0.1:1", 41, 5s, Against::drained));
+    m.restore(kept("a", "127.0.0.1:1", 41, 5s, RefutationReason::drained));
     m.restore(kept("b", "127.0.0.1:2", 30, 5s));
     m.applyConfiguration(
         list(35, true,
@@ -73,7 +73,7 @@
     Membership m({});
     m.restore(41, 0, {});
     m.restore(kept("a", "127.0.0.1:1", 41, 5s));
-    m.restore(kept("b", "127.0.0.1:2", 41, 5s, Against::drained));
+    m.restore(kept("b", "127.0.0.1:2", 41, 5s, RefutationReason::drained));
     m.applyConfiguration(list(50, true, {endpoint("b", "127.0.0.1:2"), endpoint("c", "127.0.0.1:3")}), kNow);
     EXPECT_FALSE(usable(m, "a"));
     EXPECT_TRUE(usable(m, "b"));
@@ -87,7 +87,7 @@
     m.restore(kept("a", "127.0.0.1:1", 41, 5s));
     const auto heard = m.applyUpdate(list(42, false, {endpoint("b", "127.0.0.1:1")}), kNow);
     EXPECT_EQ(heard.kind, ListUpdateResult::Kind::merged);
-    EXPECT_EQ(m.find("a")->refutation, Against::addressTaken);
+    EXPECT_EQ(m.find("a")->refutation, RefutationReason::addressReassigned);
     EXPECT_FALSE(usable(m, "a"));
     EXPECT_TRUE(usable(m, "b"));
     // The list that names both knows better: it is one index.
@@ -99,7 +99,7 @@
 TEST(Membership, AnAddressThatMovedIsAnotherPlace) {
     Membership m({});
     m.applyUpdate(list(5, true, {endpoint("a", "127.0.0.1:1")}), kNow);
-    m.recordAnswer("a", trust::Source::call, kNow);
+    m.recordAnswer("a", trust::ConfirmationSource::delivery, kNow);
     m.applyUpdate(list(6, false, {endpoint("a", "127.0.0.1:9")}), kNow);
     EXPECT_EQ(m.find("a")->endpoint.address, "127.0.0.1:9");
     EXPECT_FALSE(m.find("a")->answeredThisRun);
@@ -143,7 +143,7 @@
     EXPECT_TRUE(usable(m, "e7", kNow + 2000));
     // It started again after it drained: it is another life of it.
     whole.index = 2;
-    whole.endpoints[0].sinceMs = kNow + 500;
+    whole.endpoints[0].startedAtMs = kNow + 500;
     m.applyUpdate(whole, kNow + 3000);
     EXPECT_TRUE(usable(m, "e0", kNow + 3000));
 }
@@ -180,26 +180,26 @@
     m.restore(41, 0, {});
     m.restore(kept("a", "127.0.0.1:1", 41, 24h));
     m.restore(kept("b", "127.0.0.1:2", 41, 24h));
-    EXPECT_EQ(level(m, "a"), Level::stale);
+    EXPECT_EQ(level(m, "a"), TrustLevel::stale);
     m.applyUpdate(list(42, false, {endpoint("c", "127.0.0.1:3")}), kNow);
-    EXPECT_EQ(level(m, "a"), Level::confirmed);
-    EXPECT_EQ(level(m, "c"), Level::confirmed);
+    EXPECT_EQ(level(m, "a"), TrustLevel::confirmed);
+    EXPECT_EQ(level(m, "c"), TrustLevel::confirmed);
     m.discoveryLost(kNow + 1000);
-    EXPECT_EQ(level(m, "a", kNow + 2000), Level::confirmed);
-    EXPECT_EQ(level(m, "a", kNow + 60000), Level::ageing);
+    EXPECT_EQ(level(m, "a", kNow + 2000), TrustLevel::confirmed);
+    EXPECT_EQ(level(m, "a", kNow + 60000), TrustLevel::ageing);
 }
 
 TEST(Membership, ProbesAndStrangersCountOnlyWhileDiscoveryIsSilent) {
     Membership m({});
     m.restore(41, 0, {});
     m.restore(kept("a", "127.0.0.1:1", 41, 24h));
-    m.recordAnswer("a", trust::Source::probe, kNow);
+    m.recordAnswer("a", trust::ConfirmationSource::probe, kNow);
     EXPECT_TRUE(usable(m, "a"));
-    EXPECT_TRUE(m.refuteByAnswer("a", Against::notOurs, kNow));
+    EXPECT_TRUE(m.refuteByAnswer("a", RefutationReason::unexpectedServer, kNow));
     EXPECT_FALSE(usable(m, "a"));
     m.applyUpdate(list(42, true, {endpoint("a", "127.0.0.1:1")}), kNow);
     EXPECT_TRUE(usable(m, "a"));
-    EXPECT_FALSE(m.refuteByAnswer("a", Against::notOurs, kNow));
+    EXPECT_FALSE(m.refuteByAnswer("a", RefutationReason::unexpectedServer, kNow));
 }
 
 TEST(Membership, TombstonesAreBoundedInNumberAndAge) {
@@ -258,13 +258,13 @@
             } else if (draw < 9) {
                 m.discoveryLost(now);
             } else {
-                m.recordAnswer(name, trust::Source::call, now);
+                m.recordAnswer(name, trust::ConfirmationSource::delivery, now);
                 m.expire(now);
             }
             std::size_t graves = 0, members = 0;
             for (const auto& entry : m.entries()) {
                 graves += entry->isTombstone();
-                const auto& fellows = m.endpointsOf(entry->endpoint.group);
+                const auto& fellows = m.endpointsOf(entry->endpoint.destination);
                 members += static_cast<std::size_t>(std::count(fellows.begin(), fellows.end(), entry.get()));
                 const auto& id = entry->endpoint.name;
                 const bool over = gone.count(id) && gone[id];
--- a/tests/registry/ask_again_test.cpp
+++ b/tests/registry/ask_again_test.cpp
@@ -15,7 +15,7 @@
 void expectSoon(int senders, int failures, bool refused, milliseconds took = {}) {
     registry::Options options;
     options.senders = senders;
-    const auto pause = registry::pauseBefore(options, {failures, refused, took}, 0.999);
+    const auto pause = registry::reconnectPause(options, {failures, refused, took}, 0.999);
     EXPECT_LE(took + pause, std::max(kMostBetweenCalls, took + 2 * options.pauseLeast))
         << senders << " senders, " << failures << " failures, refused " << refused << ", the last call took "
         << took.count() << " ms";
--- a/tests/registry/no_thread_test.cpp
+++ b/tests/registry/no_thread_test.cpp
@@ -56,11 +56,11 @@
     NoStore store;
     decisions::Decisions facade(config, store, {});
     roster::Options options;
-    options.keep = options.probe = false;
+    options.saveList = options.probesEnabled = false;
     roster::Roster roster(config, options, facade);
     roster.begin();
     const discovery::Discovery place(config.discovery);
-    registry::Registry registry(place, roster, {}, 1);
+    registry::DiscoveryWatch registry(place, roster, {}, 1);
     threadsToMake = 1;  // the watch's own
     threadsToFail = 1;
     registry.start();
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -71,8 +71,8 @@
     };
     std::mt19937_64 chance(7);
     const auto draw = [&](int failures, milliseconds took) {
-        return pauseBefore(told, {failures, failures > 0, took},
-                           std::uniform_real_distribution<double>(0, 1)(chance));
+        return reconnectPause(told, {failures, failures > 0, took},
+                              std::uniform_real_distribution<double>(0, 1)(chance));
     };
     std::priority_queue<Due> queue;
     for (int s = 0; s < senders; ++s) queue.push({draw(0, {}), 0});
@@ -142,7 +142,7 @@
 
 TEST(RegistryPause, TheFirstCallGoesOutBeforeNewsCountsAsTold) {
     for (const int senders : {1, 100, 300, 100000, 2000000000})
-        EXPECT_LE(pauseBefore(options(senders), {}, 0.999999), 150ms) << senders;  // drain grace: 250 ms
+        EXPECT_LE(reconnectPause(options(senders), {}, 0.999999), 150ms) << senders;  // drain grace: 250 ms
 }
 
 // Another customer's grace is shorter: what was told counts sooner there. And none is so short that a stream
@@ -151,12 +151,12 @@
     for (const auto grace : {80ms, 150ms, 250ms, 1000ms}) {
         auto told = options(300);
         told.drainGrace = grace;
-        EXPECT_LE(pauseBefore(told, {}, 0.999999), 3 * grace / 5) << grace.count();
-        EXPECT_LE(pauseBefore(told, {}, 0.999999), 150ms) << grace.count();
+        EXPECT_LE(reconnectPause(told, {}, 0.999999), 3 * grace / 5) << grace.count();
+        EXPECT_LE(reconnectPause(told, {}, 0.999999), 150ms) << grace.count();
     }
     auto told = options(300);
     told.drainGrace = 0ms;
-    EXPECT_GE(pauseBefore(told, {}, 0), 5ms);
+    EXPECT_GE(reconnectPause(told, {}, 0), 5ms);
 }
 
 TEST(RegistryPause, TheGraceComesFromThePlatformsSettings) {
@@ -179,7 +179,7 @@
 
 TEST(RegistryPause, GrowsWithRefusalsAndIsBounded) {
     const auto most = [](int senders, int failures, bool refused) {
-        return pauseBefore(options(senders), {failures, refused, {}}, 0.999999);
+        return reconnectPause(options(senders), {failures, refused, {}}, 0.999999);
     };
     EXPECT_GT(most(30, 2, true), 1.9 * most(30, 0, true));
     EXPECT_LE(most(100, 60, true), 4400ms);
@@ -188,7 +188,7 @@
     EXPECT_LE(most(2, 60, true), 1100ms);
     EXPECT_LE(most(2, 60, false), 1100ms);
     EXPECT_LE(most(300, 60, false), 1100ms);
-    EXPECT_GE(pauseBefore(options(2), {60, false, {}}, 0), 50ms);
+    EXPECT_GE(reconnectPause(options(2), {60, false, {}}, 0), 50ms);
 }
 
 }  // namespace
--- a/tests/roster/drain_memory_test.cpp
+++ b/tests/roster/drain_memory_test.cpp
@@ -49,10 +49,10 @@
     decisions::Decisions facade(config, store, {});
     roster::Roster roster(config, {}, facade);
     roster.begin();
-    roster.heard(
+    roster.applyUpdate(
         {10, true, {endpoint("a", 7, listing::Status::serving), endpoint("b", 8, listing::Status::serving)}});
-    roster.verified();
-    roster.heard({11, false, {endpoint("a", 7, GetParam())}});
+    roster.streamVerified();
+    roster.applyUpdate({11, false, {endpoint("a", 7, GetParam())}});
     // What lies on disk at this moment is all that a kill leaves.
     std::filesystem::copy(folder.path, left.path, std::filesystem::copy_options::recursive);
 
@@ -100,7 +100,7 @@
 // A write that fails is repeated at once, not when the next one is due.
 TEST_F(DrainMemoryOnAFailingDisk, ADrainIsOnDiskSoonAfterWritesSucceed) {
     faults::writeFailure.arm(ENOSPC);
-    roster_.heard({10, true, {endpoint("b", 8, listing::Status::serving)}});
+    roster_.applyUpdate({10, true, {endpoint("b", 8, listing::Status::serving)}});
     EXPECT_FALSE(written());
     faults::writeFailure.disarm();
     const auto until = decisions::Steady::now() + std::chrono::seconds(10);
@@ -113,14 +113,14 @@
 TEST_F(DrainMemoryOnAFailingDisk, ADrainIsOnDiskSoonThoughWordOfDeliveriesGathers) {
     const auto serving = endpoint("b", 8, listing::Status::serving);
     faults::writeFailure.arm(ENOSPC);
-    roster_.heard({10, true, {serving}});
+    roster_.applyUpdate({10, true, {serving}});
     ASSERT_FALSE(written());
     decisions::DueAttempt call;
     call.endpoint = serving.name;
     call.address = serving.address;
     decisions::AttemptResult delivered;
     delivered.status = decisions::AttemptStatus::delivered;
-    roster_.answered(call, delivered);
+    roster_.attemptFinished(call, delivered);
     const auto begun = decisions::Steady::now();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));  // its thread has begun to gather by then
     faults::writeFailure.disarm();
--- a/tests/roster/roster_test.cpp
+++ b/tests/roster/roster_test.cpp
@@ -25,7 +25,7 @@
     /// Nothing is kept, and nothing probed: the roster knows what it is told.
     static roster::Options seenOnly() {
         roster::Options options;
-        options.keep = options.probe = false;
+        options.saveList = options.probesEnabled = false;
         return options;
     }
 
@@ -45,18 +45,18 @@
     roster::Roster roster(config_, options, facade_);
     roster.begin();
     constexpr int kDrained = 6;
-    listing::Listing all{10, true, {endpoint("stays", 0, listing::Status::serving)}};
-    listing::Listing drained{11, false, {}};
+    listing::EndpointList all{10, true, {endpoint("stays", 0, listing::Status::serving)}};
+    listing::EndpointList drained{11, false, {}};
     for (int i = 1; i <= kDrained; ++i) {
         const auto name = "d" + std::to_string(i);
         all.endpoints.push_back(endpoint(name, i, listing::Status::serving));
         drained.endpoints.push_back(endpoint(name, i, listing::Status::draining));
     }
-    roster.heard(all);
+    roster.applyUpdate(all);
     EXPECT_EQ(facade_.tableSizes().endpoints, kDrained + 1u);
-    roster.heard(drained);
+    roster.applyUpdate(drained);
     EXPECT_EQ(facade_.tableSizes().endpoints, kDrained + 1u);
-    roster.heard({12, true, {endpoint("stays", 0, listing::Status::serving)}});
+    roster.applyUpdate({12, true, {endpoint("stays", 0, listing::Status::serving)}});
     EXPECT_EQ(facade_.tableSizes().endpoints, 1 + options.membership.tombstones);
     EXPECT_EQ(facade_.tableSizes().destinations, 1u);
 }
@@ -69,9 +69,9 @@
     roster.begin();
     roster.start();
     const auto serving = listing::Status::serving;
-    roster.heard({10, true, {endpoint("moved", 1, serving), endpoint("stranger", 2, serving)}});
-    roster.heard({11, false, {endpoint("moved", 3, serving)}});
-    roster.lost();  // while discovery vouches for an endpoint, no answer says otherwise
+    roster.applyUpdate({10, true, {endpoint("moved", 1, serving), endpoint("stranger", 2, serving)}});
+    roster.applyUpdate({11, false, {endpoint("moved", 3, serving)}});
+    roster.streamLost();  // while discovery vouches for an endpoint, no answer says otherwise
     const auto answersLikeAStranger = [&](const listing::Endpoint& at) {
         decisions::DueAttempt call;
         call.endpoint = at.name;
@@ -79,7 +79,7 @@
         decisions::AttemptResult result;
         result.status = decisions::AttemptStatus::error;
         result.unexpectedServer = true;
-        roster.answered(call, result);
+        roster.attemptFinished(call, result);
     };
     answersLikeAStranger(endpoint("moved", 1, serving));
     answersLikeAStranger(endpoint("stranger", 2, serving));  // behind the other: both are weighed then
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -79,7 +79,7 @@
     EXPECT_EQ(s.roster.membership.trust.maxAge, 48h);
     EXPECT_EQ(s.registry.longestLine, 16000000u);
     EXPECT_EQ(s.roster.probes.perSecond, 0.5);
-    EXPECT_FALSE(s.roster.probe);
+    EXPECT_FALSE(s.roster.probesEnabled);
     EXPECT_EQ(s.level, log::Level::off);
     EXPECT_EQ(s.format, log::Format::json);
 }
@@ -119,7 +119,7 @@
 TEST(Settings, NothingMeansDefaults) {
     EXPECT_EQ(error(""), "");
     EXPECT_EQ(error("# only a word\n"), "");
-    EXPECT_TRUE(settings::fromFile("").roster.keep);
+    EXPECT_TRUE(settings::fromFile("").roster.saveList);
     EXPECT_THROW(settings::fromFile("/nowhere/at/all.yaml"), settings::Bad);
 }
 
--- a/tests/trust/trust_test.cpp
+++ b/tests/trust/trust_test.cpp
@@ -16,10 +16,10 @@
 constexpr RecordMs kNow = 1'800'000'000'000;
 constexpr milliseconds kHalf = 6h;
 
-Evidence seen(milliseconds ago, Source by = Source::discovery) {
+Evidence seen(milliseconds ago, ConfirmationSource by = ConfirmationSource::discovery) {
     Evidence e;
     e.confirmedAt = kNow - ago.count();
-    e.by = by;
+    e.confirmedBy = by;
     return e;
 }
 Policy probing() {
@@ -27,85 +27,86 @@
     p.mayProbe = true;
     return p;
 }
-Level level(const Evidence& e, const Policy& p = probing(), milliseconds half = kHalf) {
-    return judge(e, p, half, kNow).level;
+TrustLevel level(const Evidence& e, const Policy& p = probing(), milliseconds half = kHalf) {
+    return assess(e, p, half, kNow).level;
 }
 
 TEST(Trust, FallsWithAge) {
-    EXPECT_EQ(level(seen(5s)), Level::confirmed);
-    EXPECT_EQ(level(seen(1h)), Level::ageing);
-    EXPECT_EQ(level(seen(24h)), Level::stale);
-    EXPECT_EQ(level(seen(8 * 24h)), Level::refuted);
-    EXPECT_NEAR(judge(seen(6h), probing(), kHalf, kNow).figure, 0.5, 1e-9);
+    EXPECT_EQ(level(seen(5s)), TrustLevel::confirmed);
+    EXPECT_EQ(level(seen(1h)), TrustLevel::ageing);
+    EXPECT_EQ(level(seen(24h)), TrustLevel::stale);
+    EXPECT_EQ(level(seen(8 * 24h)), TrustLevel::refuted);
+    EXPECT_NEAR(assess(seen(6h), probing(), kHalf, kNow).confidence, 0.5, 1e-9);
 }
 
 TEST(Trust, AFleetThatChangesFastIsBelievedForShort) {
     // 5 minutes at a half-life of 2 are 18%: stale, where a quiet fleet's entry would be ageing.
-    EXPECT_EQ(level(seen(5min), probing(), 2min), Level::stale);
-    EXPECT_EQ(level(seen(5min)), Level::ageing);
-    EXPECT_EQ(level(seen(29s), probing(), 2min), Level::ageing);  // under 90% though it is only 29 s old
+    EXPECT_EQ(level(seen(5min), probing(), 2min), TrustLevel::stale);
+    EXPECT_EQ(level(seen(5min)), TrustLevel::ageing);
+    EXPECT_EQ(level(seen(29s), probing(), 2min), TrustLevel::ageing);  // under 90% though it is only 29 s old
 }
 
 TEST(Trust, EachLevelLastsUntilTheMomentItSays) {
     for (const auto age : {5s, 3600s, 86400s}) {
-        const auto judged = judge(seen(age), probing(), kHalf, kNow);
-        ASSERT_GT(judged.until, kNow);
-        EXPECT_EQ(judge(seen(age), probing(), kHalf, judged.until - 2).level, judged.level);
-        EXPECT_NE(judge(seen(age), probing(), kHalf, judged.until + 1).level, judged.level);
+        const auto judged = assess(seen(age), probing(), kHalf, kNow);
+        ASSERT_GT(judged.validUntil, kNow);
+        EXPECT_EQ(assess(seen(age), probing(), kHalf, judged.validUntil - 2).level, judged.level);
+        EXPECT_NE(assess(seen(age), probing(), kHalf, judged.validUntil + 1).level, judged.level);
     }
 }
 
 TEST(Trust, LiveDiscoveryConfirmsWhateverTheAge) {
     auto e = seen(24h * 30);
-    e.live = true;
-    EXPECT_EQ(level(e), Level::confirmed);
-    e.against = Against::drained;
-    EXPECT_EQ(level(e), Level::refuted);
+    e.listedNow = true;
+    EXPECT_EQ(level(e), TrustLevel::confirmed);
+    e.refutation = RefutationReason::drained;
+    EXPECT_EQ(level(e), TrustLevel::refuted);
 }
 
 TEST(Trust, WhatSpeaksAgainstItRefutesAtAnyAge) {
-    for (const auto against : {Against::drained, Against::deleted, Against::missing, Against::addressTaken,
-                               Against::otherPartner, Against::notOurs}) {
+    for (const auto against : {RefutationReason::drained, RefutationReason::deleted,
+                               RefutationReason::missing, RefutationReason::addressReassigned,
+                               RefutationReason::rateLimitMismatch, RefutationReason::unexpectedServer}) {
         auto e = seen(0s);
-        e.against = against;
-        EXPECT_EQ(level(e), Level::refuted) << name(against);
+        e.refutation = against;
+        EXPECT_EQ(level(e), TrustLevel::refuted) << name(against);
     }
 }
 
 TEST(Trust, AListWithoutAnAgeIsNeverFullyBelieved) {
-    EXPECT_EQ(level(seen(0s, Source::configuration)), Level::ageing);
-    const auto ahead = judge(seen(-1h), probing(), kHalf, kNow);  // the clock was set back
-    EXPECT_EQ(ahead.level, Level::ageing);
+    EXPECT_EQ(level(seen(0s, ConfirmationSource::configuration)), TrustLevel::ageing);
+    const auto ahead = assess(seen(-1h), probing(), kHalf, kNow);  // the clock was set back
+    EXPECT_EQ(ahead.level, TrustLevel::ageing);
     EXPECT_EQ(ahead.age, Policy{}.configuredAge);
 }
 
 TEST(Trust, WhereProbesAreNotPermittedOneMessageIsTheProbeWithinTheBlindLimit) {
     Policy blind;
-    const auto young = judge(seen(30min), blind, 10min, kNow);
-    EXPECT_EQ(young.level, Level::ageing);
-    EXPECT_TRUE(young.oneByOne);
-    EXPECT_EQ(level(seen(61min), blind, 10min), Level::stale);
-    EXPECT_EQ(level(seen(30min), probing(), 10min), Level::stale);
+    const auto young = assess(seen(30min), blind, 10min, kNow);
+    EXPECT_EQ(young.level, TrustLevel::ageing);
+    EXPECT_TRUE(young.oneAtATime);
+    EXPECT_EQ(level(seen(61min), blind, 10min), TrustLevel::stale);
+    EXPECT_EQ(level(seen(30min), probing(), 10min), TrustLevel::stale);
 }
 
 TEST(Trust, WhatAnsweredInThisLifeGoesOn) {
-    auto e = seen(24h, Source::probe);
-    EXPECT_EQ(level(e), Level::stale);
-    e.offered = true;
-    EXPECT_EQ(level(e), Level::ageing);
+    auto e = seen(24h, ConfirmationSource::probe);
+    EXPECT_EQ(level(e), TrustLevel::stale);
+    e.answeredThisRun = true;
+    EXPECT_EQ(level(e), TrustLevel::ageing);
 }
 
 TEST(Trust, HalfLifeIsLearnt) {
     Policy p;
     Churn quiet, busy;
     EXPECT_EQ(quiet.halfLife(p), p.halfLife);
-    quiet.saw(100, 24h, 0);
+    quiet.observe(100, 24h, 0);
     EXPECT_GT(quiet.halfLife(p), 24h);
     // 20 entries each replaced once in ten minutes: a half-life of 7 minutes, were it not for the prior.
-    busy.saw(20, 10min, 20);
+    busy.observe(20, 10min, 20);
     EXPECT_LT(busy.halfLife(p), 30min);
     EXPECT_GT(busy.halfLife(p), 5min);
-    busy.saw(20, 100min, 2000);
+    busy.observe(20, 100min, 2000);
     EXPECT_EQ(busy.halfLife(p), p.halfLifeLeast);
     Churn back;
     back.restore(busy.entrySeconds(), busy.changes());
@@ -116,25 +117,25 @@
 
 TEST(Trust, ExplainsWhyAndWhatWouldChangeIt) {
     const auto p = probing();
-    const auto stale = explain(seen(24h), judge(seen(24h), p, kHalf, kNow), p, kHalf);
+    const auto stale = explain(seen(24h), assess(seen(24h), p, kHalf, kNow), p, kHalf);
     EXPECT_NE(stale.find("stale"), std::string::npos);
     EXPECT_NE(stale.find("1 d ago"), std::string::npos);
     EXPECT_NE(stale.find("probe"), std::string::npos);
     auto gone = seen(1s);
-    gone.against = Against::drained;
-    const auto text = explain(gone, judge(gone, p, kHalf, kNow), p, kHalf);
+    gone.refutation = RefutationReason::drained;
+    const auto text = explain(gone, assess(gone, p, kHalf, kNow), p, kHalf);
     EXPECT_NE(text.find("refuted: draining"), std::string::npos);
 }
 
 TEST(Trust, AfterARestartAProbeGoesFirstHoweverYoungTheList) {
-    EXPECT_TRUE(judge(seen(1s), probing(), kHalf, kNow).probeFirst);
-    EXPECT_FALSE(judge(seen(1s), Policy{}, kHalf, kNow).probeFirst);  // where probes are not permitted
+    EXPECT_TRUE(assess(seen(1s), probing(), kHalf, kNow).probeFirst);
+    EXPECT_FALSE(assess(seen(1s), Policy{}, kHalf, kNow).probeFirst);  // where probes are not permitted
     auto e = seen(1s);
-    e.thisLife = true;
-    EXPECT_FALSE(judge(e, probing(), kHalf, kNow).probeFirst);
+    e.listedThisRun = true;
+    EXPECT_FALSE(assess(e, probing(), kHalf, kNow).probeFirst);
     e = seen(24h);
-    e.offered = true;
-    EXPECT_FALSE(judge(e, probing(), kHalf, kNow).probeFirst);
+    e.answeredThisRun = true;
+    EXPECT_FALSE(assess(e, probing(), kHalf, kNow).probeFirst);
 }
 
 // Danger: a release killed 70 of 100 senders at once, and each probed each endpoint in its first half second:
@@ -144,8 +145,8 @@
         auto policy = probing();
         policy.senders = senders;
         auto e = seen(age);
-        e.rate = rate;
-        return judge(e, policy, kHalf, kNow).probeFirst;
+        e.rateLimit = rate;
+        return assess(e, policy, kHalf, kNow).probeFirst;
     };
     for (const double rate : {2.5, 33.0, 120.0}) EXPECT_TRUE(probed(2, rate, 1s)) << rate;
     // Half of the fleet asks within 400 ms; what the partner takes in that time is the most there may be.
@@ -160,25 +161,26 @@
 
 // ---- probes ----
 
-const Moment kStart = Moment(std::chrono::hours(100));
+const TimePoint kStart = TimePoint(std::chrono::hours(100));
 
-Candidate stale(const std::string& endpoint, std::uint64_t destination, std::size_t held = 0,
-                double traffic = 0) {
+ProbeCandidate stale(const std::string& endpoint, std::uint64_t destination, std::size_t held = 0,
+                     double traffic = 0) {
     return {endpoint, destination, 4, held, traffic, {}};
 }
 
 /// Plays `next` until `until`, answering each probe by `answer`; gives when each went out.
-std::multimap<std::string, Moment> play(Probes& probes, const std::vector<Candidate>& candidates,
-                                        Moment until, bool answer) {
-    std::multimap<std::string, Moment> sent;
+std::multimap<std::string, TimePoint> play(ProbeScheduler& probes,
+                                           const std::vector<ProbeCandidate>& candidates, TimePoint until,
+                                           bool answer) {
+    std::multimap<std::string, TimePoint> sent;
     for (auto now = kStart; now < until;) {
         const auto next = probes.next(candidates, now);
         if (next.endpoint) {
             sent.emplace(*next.endpoint, now);
-            probes.answered(*next.endpoint, answer, now);
-        } else if (next.at) {
-            EXPECT_GT(*next.at, now);  // or the caller would spin
-            now = std::max(now + 1ms, *next.at);
+            probes.recordAnswer(*next.endpoint, answer, now);
+        } else if (next.checkAgainAt) {
+            EXPECT_GT(*next.checkAgainAt, now);  // or the caller would spin
+            now = std::max(now + 1ms, *next.checkAgainAt);
         } else {
             break;
         }
@@ -186,28 +188,28 @@
     return sent;
 }
 
-TEST(Probes, DemandGoesFirstThenTraffic) {
+TEST(ProbeScheduler, DemandGoesFirstThenTraffic) {
     ProbePolicy policy;
     policy.jitter = 0ms;
     policy.perSecond = 4;
-    Probes probes(policy, 1);
+    ProbeScheduler probes(policy, 1);
     probes.begin(kStart);
-    const std::vector<Candidate> all{stale("idle", 1, 0, 5), stale("busy", 2, 0, 500),
-                                     stale("wanted", 3, 2, 0)};
+    const std::vector<ProbeCandidate> all{stale("idle", 1, 0, 5), stale("busy", 2, 0, 500),
+                                          stale("wanted", 3, 2, 0)};
     EXPECT_EQ(probes.next(all, kStart).endpoint, "wanted");
     const auto later = probes.next(all, kStart);
     ASSERT_FALSE(later.endpoint);  // the sender's own budget
-    ASSERT_TRUE(later.at);
-    EXPECT_EQ(probes.next(all, *later.at).endpoint, "busy");
+    ASSERT_TRUE(later.checkAgainAt);
+    EXPECT_EQ(probes.next(all, *later.checkAgainAt).endpoint, "busy");
 }
 
-TEST(Probes, StayWithinTheBudgetOfTheSenderAndOfADestination) {
+TEST(ProbeScheduler, StayWithinTheBudgetOfTheSenderAndOfADestination) {
     ProbePolicy policy;
     policy.senders = 2;
     policy.perSecond = 4;
-    Probes probes(policy, 7);
+    ProbeScheduler probes(policy, 7);
     probes.begin(kStart);
-    std::vector<Candidate> all;
+    std::vector<ProbeCandidate> all;
     for (int i = 0; i < 8; ++i) all.push_back(stale("a" + std::to_string(i), 1, 3));
     for (int i = 0; i < 40; ++i)
         all.push_back(stale("b" + std::to_string(i), 100 + static_cast<unsigned>(i)));
@@ -220,15 +222,15 @@
     EXPECT_GE(first, 4u);
 }
 
-TEST(Probes, WhereNoCallMayGoTheyHaveTheCallsPartOfTheBudget) {
+TEST(ProbeScheduler, WhereNoCallMayGoTheyHaveTheCallsPartOfTheBudget) {
     ProbePolicy policy;
     policy.backOff = 1ms;
     policy.backOffMost = 1ms;
     const auto count = [&](bool served) {
-        Probes probes(policy, 3);
+        ProbeScheduler probes(policy, 3);
         probes.begin(kStart);
         auto one = stale("a", 1, 1);
-        one.served = served;
+        one.destinationUsable = served;
         return play(probes, {one}, kStart + 60s, false).size();
     };
     EXPECT_LE(count(true), 15u);   // 0.15 x 0.38 x 4/s: one in 4.4 s
@@ -236,32 +238,32 @@
     EXPECT_GE(count(false), 60u);
 }
 
-TEST(Probes, BackOffFromSilence) {
+TEST(ProbeScheduler, BackOffFromSilence) {
     ProbePolicy policy;
     policy.coldShare = 0.25;
-    Probes probes(policy, 3);
+    ProbeScheduler probes(policy, 3);
     probes.begin(kStart);
     auto one = stale("a", 1, 1);
-    one.rate = 1000;
+    one.rateLimit = 1000;
     const auto sent = play(probes, {one}, kStart + 10min, false);
     EXPECT_LT(sent.size(), 20u);  // 1, 2, 4, ... 60, 60 s
     EXPECT_GT(sent.size(), 10u);
 }
 
-TEST(Probes, AToldWaitHoldsThemToo) {
-    Probes probes({}, 3);
+TEST(ProbeScheduler, AToldWaitHoldsThemToo) {
+    ProbeScheduler probes({}, 3);
     probes.begin(kStart);
     auto one = stale("a", 1, 1);
-    one.holdUntil = kStart + 5s;
+    one.waitUntil = kStart + 5s;
     const auto sent = play(probes, {one}, kStart + 6s, false);
     ASSERT_FALSE(sent.empty());
-    for (const auto& [endpoint, at] : sent) EXPECT_GE(at, one.holdUntil);
+    for (const auto& [endpoint, at] : sent) EXPECT_GE(at, one.waitUntil);
 }
 
-TEST(Probes, SendersThatRestartTogetherComeApart) {
-    std::set<Moment> first;
+TEST(ProbeScheduler, SendersThatRestartTogetherComeApart) {
+    std::set<TimePoint> first;
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        Probes probes({}, seed);
+        ProbeScheduler probes({}, seed);
         probes.begin(kStart);
         const auto sent = play(probes, {stale("a", 1)}, kStart + 1s, true);
         ASSERT_FALSE(sent.empty());
