--- a/src/clock/record_clock.cpp
+++ b/src/clock/record_clock.cpp
@@ -41,7 +41,7 @@
 
 std::string encoded(const Anchor& anchor) {
     return store::encodeFrame(kMark, store::PayloadWriter(kAnchor)
-                                         .text(anchor.boot)
+                                         .text(anchor.bootId)
                                          .number(anchor.offsetMs)
                                          .number(anchor.monotonicMs)
                                          .finish());
@@ -52,7 +52,7 @@
     if (payload.empty() || payload[0] != kAnchor) return {};
     store::PayloadReader in(payload.substr(1));
     Anchor anchor;
-    anchor.boot = in.text();
+    anchor.bootId = in.text();
     anchor.offsetMs = in.number<std::int64_t>();
     anchor.monotonicMs = in.number<std::int64_t>();
     if (!in.complete()) return {};
@@ -76,23 +76,23 @@
 
 }  // namespace
 
-Readings readClocks() {
+ClockReadings readClocks() {
     return {bootId(), millisecondsOf<std::chrono::system_clock>(),
             millisecondsOf<std::chrono::steady_clock>()};
 }
 
-Anchor choose(const std::optional<Anchor>& kept, const Readings& now) {
-    const bool sameBoot = kept && kept->boot == now.boot && kept->monotonicMs <= now.monotonicMs;
+Anchor chooseAnchor(const std::optional<Anchor>& kept, const ClockReadings& now) {
+    const bool sameBoot = kept && kept->bootId == now.bootId && kept->monotonicMs <= now.monotonicMs;
     if (sameBoot) return *kept;
-    return {now.boot, now.wallMs - now.monotonicMs, now.monotonicMs};
+    return {now.bootId, now.wallMs - now.monotonicMs, now.monotonicMs};
 }
 
-RecordClock::RecordClock() : anchor_(choose({}, readClocks())), persisted_(true) {}
+RecordClock::RecordClock() : anchor_(chooseAnchor({}, readClocks())), persisted_(true) {}
 
 RecordClock::RecordClock(const std::string& folder) : path_(folder + kFile) {
     const auto kept = load(path_);
-    anchor_ = choose(kept, readClocks());
-    persisted_ = kept && kept->boot == anchor_.boot && kept->offsetMs == anchor_.offsetMs;
+    anchor_ = chooseAnchor(kept, readClocks());
+    persisted_ = kept && kept->bootId == anchor_.bootId && kept->offsetMs == anchor_.offsetMs;
     if (kept && !persisted_)
         log::warning() << "clock: the machine was restarted; times on record are read by the wall clock";
 }
@@ -111,7 +111,7 @@
     return true;
 }
 
-RecordClock& ofProcess() {
+RecordClock& processClock() {
     static RecordClock clock;
     return clock;
 }
--- a/src/clock/record_clock.hpp
+++ b/src/clock/record_clock.hpp
@@ -22,21 +22,21 @@
 
 /// What ties the time line to the monotonic clock of one boot of the machine.
 struct Anchor {
-    std::string boot;              ///< the id of that boot; empty where the system tells none
+    std::string bootId;            ///< the id of that boot; empty where the system tells none
     std::int64_t offsetMs = 0;     ///< the time line less the monotonic clock
     std::int64_t monotonicMs = 0;  ///< the monotonic clock when the line was anchored
 };
 
 /// The clocks of the system, as they stand now.
-struct Readings {
-    std::string boot;
+struct ClockReadings {
+    std::string bootId;
     std::int64_t wallMs = 0, monotonicMs = 0;
 };
-Readings readClocks();
+ClockReadings readClocks();
 
 /// The anchor that holds from now on: the kept one while the machine has not been restarted since, otherwise
 /// one that begins at the wall clock's time. Pure.
-Anchor choose(const std::optional<Anchor>& kept, const Readings& now);
+Anchor chooseAnchor(const std::optional<Anchor>& kept, const ClockReadings& now);
 
 /// The one source of times that are kept on disk. Safe for use by several threads.
 class RecordClock {
@@ -59,6 +59,6 @@
 };
 
 /// A time line of this process, shared by all that keep nothing.
-RecordClock& ofProcess();
+RecordClock& processClock();
 
 }  // namespace laurelhaven::clock
--- a/src/decisions/decisions.cpp
+++ b/src/decisions/decisions.cpp
@@ -255,8 +255,8 @@
     // meanwhile. What a partner has told holds from now on, not from when there is time for it.
     const auto heardAt = Steady::now();
     if (result.status == AttemptStatus::rejected && result.wait.count() > 0)
-        sendRules_.tellWait(call.destination,
-                            heardAt + std::chrono::duration_cast<Steady::duration>(result.wait), heardAt);
+        sendRules_.extendWait(call.destination,
+                              heardAt + std::chrono::duration_cast<Steady::duration>(result.wait), heardAt);
     const std::lock_guard lock(mutex_);
     sendRules_.end(call.id);
     const auto it = held_.find(call.id);
@@ -301,7 +301,7 @@
     // As for waits: what drains or goes gets nothing more, whoever holds the lock.
     const auto heardAt = Steady::now();
     for (const auto& e : list.endpoints)
-        if (e.status != listing::Status::serving) sendRules_.endEndpoint(e.name, heardAt);
+        if (e.status != listing::Status::serving) sendRules_.markNotServing(e.name, heardAt);
     const std::lock_guard lock(mutex_);
     if (stopped_) return;
     stoathub::EndpointListUpdate news;
@@ -345,7 +345,7 @@
     const auto it = endpoints_.find(name);
     const bool had = it != endpoints_.end();
     if (!seen) sendRules_.removeEndpoint(name, now);
-    else if (!seen->serving) sendRules_.endEndpoint(name, now);
+    else if (!seen->serving) sendRules_.markNotServing(name, now);
     if (seen) sendRules_.setEndpoint(name, *seen);
     // Nothing more goes there: its connections are of no use.
     const bool same = had && seen && seen->serving && it->second.address == seen->address;
@@ -522,7 +522,7 @@
         if (it != destinations_.end()) destinations_.erase(it);
         return true;
     });
-    sendRules_.forget(now);
+    sendRules_.pruneExpired(now);
 }
 
 void Decisions::turn(const Events& events, SubmissionResult* own, const std::string* ownId) {
@@ -645,7 +645,7 @@
 
 Decisions::TableSizes Decisions::tableSizes() const {
     const std::lock_guard lock(mutex_);
-    return {held_.size(), endpoints_.size(), destinations_.size(), sendRules_.waits()};
+    return {held_.size(), endpoints_.size(), destinations_.size(), sendRules_.waitCount()};
 }
 std::vector<Decisions::RetryBucketState> Decisions::retryBucketStates() const {
     const std::lock_guard lock(mutex_);
--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -105,7 +105,7 @@
   public:
     /// `recordClock`: the time line of what the store keeps.
     Decisions(const config::Config& config, store::Store& store, Hooks hooks,
-              clock::RecordClock& recordClock = clock::ofProcess());
+              clock::RecordClock& recordClock = clock::processClock());
 
     /// Blocks until a call is due. Nothing once picking has stopped.
     std::optional<DueAttempt> takeDueAttempt();
--- a/src/decisions/recovered_messages.cpp
+++ b/src/decisions/recovered_messages.cpp
@@ -54,7 +54,7 @@
     handed.messageClass = found.grade;
     const auto then = static_cast<stoathub::Effect>(std::clamp(message.effect, 0, 2));
     const auto today = config.settings.messageClasses[static_cast<std::size_t>(found.grade)].effect;
-    handed.minimumEffect = rules::effectOfFound(then, today, !message.key.empty());
+    handed.minimumEffect = rules::effectAfterRestart(then, today, !message.key.empty());
     handed.timeLeft = found.left;
     handed.priorAttempts = pastOf(message, found, healthKnownUntil);
     return found;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -87,11 +87,11 @@
         if (c.phase == Connection::Phase::draining) tellToGo(c);
     changed_.wait_for(lock, kLast, [this] {
         return std::all_of(connections_.begin(), connections_.end(),
-                           [](const Connection& c) { return c.phase == Connection::Phase::over; });
+                           [](const Connection& c) { return c.phase == Connection::Phase::closed; });
     });
     closing_ = true;
     for (auto& c : connections_)
-        if (c.phase != Connection::Phase::over) tellToGo(c);
+        if (c.phase != Connection::Phase::closed) tellToGo(c);
     reap(lock);
     while (!connections_.empty()) {
         changed_.wait_for(lock, milliseconds(100));
@@ -103,7 +103,7 @@
     const std::lock_guard lock(mutex_);
     return static_cast<std::size_t>(
         std::count_if(connections_.begin(), connections_.end(),
-                      [](const auto& c) { return c.phase != Connection::Phase::over; }));
+                      [](const auto& c) { return c.phase != Connection::Phase::closed; }));
 }
 
 void Front::accept() {
@@ -117,7 +117,7 @@
         } else if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
             log::warning() << "front: accept: " << std::strerror(errno);
             std::unique_lock lock(mutex_);
-            makeRoom(rules::Worth::all);
+            makeRoom(rules::CloseScope::all);
             changed_.wait_for(lock, kPause, [this] { return deaf_.load(); });
         } else if (errno != EINTR && errno != ECONNABORTED) {
             log::warning() << "front: accept: " << std::strerror(errno);
@@ -137,10 +137,10 @@
         std::count_if(connections_.begin(), connections_.end(), [](const auto& c) { return c.shut; }));
     const auto staying = connections_.size() - leaving;
     const bool room =
-        connections_.size() < most_ + kLeaving && (staying < most_ || makeRoom(rules::Worth::all));
+        connections_.size() < most_ + kLeaving && (staying < most_ || makeRoom(rules::CloseScope::all));
     // Danger: clients that ask once and keep their connection add up, and with each goes a thread whose stack
     // stays in memory. Long before room is short, those that have rested make way one by one.
-    if (staying < most_ && staying >= most_ / 4) makeRoom(rules::Worth::rested);
+    if (staying < most_ && staying >= most_ / 4) makeRoom(rules::CloseScope::longIdle);
     if (!room) {
         lock.unlock();
         return turnAway(fd);
@@ -157,11 +157,13 @@
     }
 }
 
-/// Tells the one connection to go that may best be done without: see rules::closeRank().
-bool Front::makeRoom(rules::Worth least) {
+/// Tells the one connection to go that may best be done without: see rules::closePriority().
+bool Front::makeRoom(rules::CloseScope least) {
     using Phase = Connection::Phase;
     const auto now = net::Steady::now();
-    const auto rank = [now](const Connection& c) { return rules::closeRank(c.phase, now - c.since, c.shut); };
+    const auto rank = [now](const Connection& c) {
+        return rules::closePriority(c.phase, now - c.since, c.shut);
+    };
     Connection* worst = nullptr;
     for (auto& c : connections_) {
         const int its = rank(c);
@@ -188,7 +190,7 @@
     Connections done;
     for (auto it = connections_.begin(); it != connections_.end();) {
         const auto next = std::next(it);
-        if (it->phase == Connection::Phase::over) done.splice(done.end(), connections_, it);
+        if (it->phase == Connection::Phase::closed) done.splice(done.end(), connections_, it);
         it = next;
     }
     if (done.empty()) return;
@@ -203,7 +205,7 @@
     connection.since = net::Steady::now();
     // Danger: its last answer may have taken so long that the stop has passed it by.
     if (phase == Connection::Phase::idle && closing_) tellToGo(connection);
-    if (phase == Connection::Phase::over) {
+    if (phase == Connection::Phase::closed) {
         connection.fd.reset();
         changed_.notify_all();
     }
@@ -228,7 +230,7 @@
         net::shutWriting(fd);
         net::discard(fd, kMostDrained, net::Steady::now() + kDrain);
     }
-    enter(connection, Phase::over);
+    enter(connection, Phase::closed);
 }
 
 bool Front::toldToGo(const Connection& connection) {
@@ -283,11 +285,12 @@
         parser.feed(bytes);
     }
     if (parser.state() == State::bad) return refuse(parser.refusal(), "the request can't be taken\n");
-    switch (rules::whole(parser.leftover(), net::unread(fd), toldToGo(connection))) {
-        case rules::Whole::answer: return Next::request;
-        case rules::Whole::refuse: return refuse(400, "more follows than the request's length says\n");
-        case rules::Whole::turnAway: return refuse(503, "come again\n");
-        case rules::Whole::leave: break;
+    switch (rules::requestDisposition(parser.leftover(), net::unread(fd), toldToGo(connection))) {
+        case rules::RequestDisposition::answer: return Next::request;
+        case rules::RequestDisposition::rejectTrailingBytes:
+            return refuse(400, "more follows than the request's length says\n");
+        case rules::RequestDisposition::askToRetry: return refuse(503, "come again\n");
+        case rules::RequestDisposition::drop: break;
     }
     return closing("gone_before_answer");
 }
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -47,7 +47,7 @@
 
     void accept();
     void admit(net::Fd fd);
-    bool makeRoom(rules::Worth least);
+    bool makeRoom(rules::CloseScope least);
     void reap(std::unique_lock<std::mutex>& lock);
     void serve(Connection& connection);
     void enter(Connection& connection, Connection::Phase phase);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -142,7 +142,7 @@
     metrics::setGauge("messages_held", [&] { return static_cast<double>(decisions.heldMessages()); });
     metrics::setGauge("attempts_out", [&] { return static_cast<double>(decisions.attemptsInFlight()); });
     metrics::setGauge("notices_owed", [&] { return static_cast<double>(notices.owed()); });
-    front.setMetrics(metrics::text);
+    front.setMetrics(metrics::renderText);
     roster.begin();
     for (const auto& notice : recovered.notices) notices.add(notice);
     const auto late = decisions.restore(recovered.messages, roster.healthKnownUntil());
@@ -198,7 +198,7 @@
             .kv("dropped", c.dropped)
             .kv("bytes", c.bytes);
     (log::info() << "stopped, " << decisions.heldMessages() << " messages left to the store")
-        .kv("rule_violations", decisions.violations().all());
+        .kv("rule_violations", decisions.violations().total());
     return 0;
 }
 
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -46,7 +46,7 @@
 
 // Danger: a gauge takes the lock of its owner, who counts under that very lock. Read with the counters
 // locked, the two would wait for each other for good.
-std::string text() {
+std::string renderText() {
     std::ostringstream out;
     Registry& all = registry();
     std::map<std::string, std::function<double()>, std::less<>> gauges;
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -26,6 +26,6 @@
 void setGauge(std::string_view name, std::function<double()> read);
 
 /// All of them, a line each.
-std::string text();
+std::string renderText();
 
 }  // namespace laurelhaven::metrics
--- a/src/roster/roster.hpp
+++ b/src/roster/roster.hpp
@@ -43,7 +43,7 @@
 class Roster {
   public:
     Roster(const config::Config& config, const Options& options, decisions::Decisions& decisions,
-           clock::RecordClock& recordClock = clock::ofProcess());
+           clock::RecordClock& recordClock = clock::processClock());
     ~Roster() { stop(); }
 
     /// Reads the kept list and offers what it and the configuration give. Before anything else.
--- a/src/rules/connection_rules.cpp
+++ b/src/rules/connection_rules.cpp
@@ -26,20 +26,22 @@
 // its request. Where usual clients connect anew for each message and stay, none has rested yet: a newcomer's
 // request is worth more than any connection between requests, so the one used longest ago goes then. None
 // goes whose request has come whole, and none so young that a usual client might still be at it.
-int closeRank(ConnectionPhase phase, std::chrono::nanoseconds age, bool toldToGo) {
-    if (toldToGo) return kStays;
+int closePriority(ConnectionPhase phase, std::chrono::nanoseconds age, bool askedToClose) {
+    if (askedToClose) return kStays;
     switch (phase) {
         case ConnectionPhase::draining: return kDoneWith;
         case ConnectionPhase::idle: return age >= kRested ? kRestedLong : kIdleOfLate;
         case ConnectionPhase::fresh: return age >= kSilent ? kSilentSoFar : kStays;
         case ConnectionPhase::reading: return age >= kSlow ? kSlowRequest : kStays;
         case ConnectionPhase::answering:
-        case ConnectionPhase::over: break;
+        case ConnectionPhase::closed: break;
     }
     return kStays;
 }
 
-bool mayClose(int rank, Worth least) { return rank >= (least == Worth::rested ? kRestedLong : kIdleOfLate); }
+bool mayClose(int rank, CloseScope least) {
+    return rank >= (least == CloseScope::longIdle ? kRestedLong : kIdleOfLate);
+}
 
 // Danger: a length that is too short leaves the rest of the body where the next request would begin, and
 // whoever wrote that body chose it. Clients send one request at a time, so bytes behind it are no request.
@@ -48,10 +50,11 @@
 // answer at all.
 // Danger: a client may end its sending behind a request and wait for the answer. It can't be told from one
 // that has given up, whose message would be delivered for nothing; so it is asked to come again.
-Whole whole(std::size_t leftover, net::Unread behind, bool toldToGo) {
-    if (leftover > 0 || behind == net::Unread::bytes) return Whole::refuse;
-    if (behind == net::Unread::broken) return Whole::leave;
-    return behind == net::Unread::end && !toldToGo ? Whole::turnAway : Whole::answer;
+RequestDisposition requestDisposition(std::size_t leftover, net::Unread behind, bool askedToClose) {
+    if (leftover > 0 || behind == net::Unread::bytes) return RequestDisposition::rejectTrailingBytes;
+    if (behind == net::Unread::broken) return RequestDisposition::drop;
+    return behind == net::Unread::end && !askedToClose ? RequestDisposition::askToRetry
+                                                       : RequestDisposition::answer;
 }
 
 }  // namespace laurelhaven::rules
--- a/src/rules/connection_rules.hpp
+++ b/src/rules/connection_rules.hpp
@@ -16,27 +16,27 @@
     answering,  ///< a request has come whole
     idle,       ///< between requests
     draining,   ///< its last answer is written, and what still comes is dropped
-    over
+    closed
 };
 
 /// How much room is worth: what is done with goes first.
-enum class Worth { rested, all };
+enum class CloseScope { longIdle, all };
 
 /// How soon a connection may be closed to make room for others: 0 not at all, the highest number first.
 /// Clients that open connections and send nothing, or half a request, would take them all.
-int closeRank(ConnectionPhase phase, std::chrono::nanoseconds age, bool toldToGo);
+int closePriority(ConnectionPhase phase, std::chrono::nanoseconds age, bool askedToClose);
 /// May a connection of that rank go now?
-bool mayClose(int rank, Worth least);
+bool mayClose(int rank, CloseScope least);
 
 /// What becomes of a request that has come whole.
-enum class Whole {
+enum class RequestDisposition {
     answer,
-    refuse,    ///< more came than one request
-    turnAway,  ///< its client has ended its sending, and may have given up
-    leave      ///< the connection is gone: nobody would hear an answer
+    rejectTrailingBytes,  ///< more came than one request
+    askToRetry,           ///< its client has ended its sending, and may have given up
+    drop                  ///< the connection is gone: nobody would hear an answer
 };
-/// `leftover`: bytes read behind it. `behind`: what the connection holds now. `toldToGo`: we ended its
+/// `leftover`: bytes read behind it. `behind`: what the connection holds now. `askedToClose`: we ended its
 /// reading.
-Whole whole(std::size_t leftover, net::Unread behind, bool toldToGo);
+RequestDisposition requestDisposition(std::size_t leftover, net::Unread behind, bool askedToClose);
 
 }  // namespace laurelhaven::rules
--- a/src/rules/repeat_rules.cpp
+++ b/src/rules/repeat_rules.cpp
@@ -4,7 +4,7 @@
 
 namespace laurelhaven::rules {
 
-stoathub::Effect effectOfFound(stoathub::Effect then, stoathub::Effect now, bool hasKey) {
+stoathub::Effect effectAfterRestart(stoathub::Effect then, stoathub::Effect now, bool hasKey) {
     using stoathub::Effect;
     const auto stricter = std::max(then, now);
     if (stricter != Effect::keyed) return then;
--- a/src/rules/send_rules.cpp
+++ b/src/rules/send_rules.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 // What a partner had in the pipe when it told a wait is let through.
-constexpr milliseconds kWaitLetThrough{100};
+constexpr milliseconds kInFlightAllowance{100};
 // Between the check and the first byte a process may be held up by so much.
-constexpr milliseconds kHeldUp{150};
-constexpr std::chrono::seconds kRememberEnded{60};
+constexpr milliseconds kSchedulingAllowance{150};
+constexpr std::chrono::seconds kNotServingMemory{60};
 
-std::string late(Moment at, Moment since) {
+std::string delayText(TimePoint at, TimePoint since) {
     return std::to_string(std::chrono::duration_cast<milliseconds>(at - since).count()) + " ms after";
 }
 
@@ -35,96 +35,98 @@
 void SendRules::setEndpoint(const std::string& name, const Endpoint& endpoint) {
     const std::lock_guard lock(mutex_);
     endpoints_[name] = endpoint;
-    if (endpoint.serving) endedAt_.erase(name);
+    if (endpoint.serving) notServingSince_.erase(name);
 }
 
-void SendRules::endEndpoint(const std::string& name, Moment now) {
+void SendRules::markNotServing(const std::string& name, TimePoint now) {
     const std::lock_guard lock(mutex_);
     const auto it = endpoints_.find(name);
     if (it == endpoints_.end() || !it->second.serving) return;
     it->second.serving = false;
-    endedAt_.try_emplace(name, now);
+    notServingSince_.try_emplace(name, now);
 }
 
-void SendRules::removeEndpoint(const std::string& name, Moment now) {
+void SendRules::removeEndpoint(const std::string& name, TimePoint now) {
     const std::lock_guard lock(mutex_);
-    if (endpoints_.erase(name) > 0) endedAt_.try_emplace(name, now);
+    if (endpoints_.erase(name) > 0) notServingSince_.try_emplace(name, now);
 }
 
-void SendRules::tellWait(std::uint64_t destination, Moment until, Moment now) {
+void SendRules::extendWait(std::uint64_t destination, TimePoint until, TimePoint now) {
     const std::lock_guard lock(mutex_);
     const auto [it, fresh] = waits_.try_emplace(destination, Wait{now, until});
     if (fresh || it->second.until <= now) it->second = {now, until};
     else it->second.until = std::max(it->second.until, until);
 }
 
-Moment SendRules::waitUntil(std::uint64_t destination) const {
+TimePoint SendRules::waitUntil(std::uint64_t destination) const {
     const std::lock_guard lock(mutex_);
     const auto it = waits_.find(destination);
-    return it == waits_.end() ? Moment{} : it->second.until;
+    return it == waits_.end() ? TimePoint{} : it->second.until;
 }
 
-void SendRules::forget(Moment now) {
+void SendRules::pruneExpired(TimePoint now) {
     const std::lock_guard lock(mutex_);
     std::erase_if(waits_, [&](const auto& entry) { return entry.second.until <= now; });
-    std::erase_if(endedAt_, [&](const auto& entry) {
-        return !endpoints_.count(entry.first) && now - entry.second > kRememberEnded;
+    std::erase_if(notServingSince_, [&](const auto& entry) {
+        return !endpoints_.count(entry.first) && now - entry.second > kNotServingMemory;
     });
 }
 
-Refusal SendRules::checkLocked(const Attempt& attempt, Moment now) const {
-    if (now >= attempt.giveUpAt) return Refusal::deadlinePassed;
-    if (now >= attempt.beginUntil) return Refusal::windowPassed;
+Refusal SendRules::checkLocked(const Attempt& attempt, TimePoint now) const {
+    if (now >= attempt.deadline) return Refusal::deadlinePassed;
+    if (now >= attempt.keyWindowEnd) return Refusal::keyWindowPassed;
     const auto endpoint = endpoints_.find(attempt.endpoint);
     if (endpoint == endpoints_.end() || endpoint->second.destination != attempt.destination)
         return Refusal::endpointNotListed;
     if (!endpoint->second.serving) return Refusal::endpointNotServing;
     if (endpoint->second.address != attempt.address) return Refusal::addressChanged;
     const auto wait = waits_.find(attempt.destination);
-    if (wait != waits_.end() && now < wait->second.until) return Refusal::toldToWait;
+    if (wait != waits_.end() && now < wait->second.until) return Refusal::waitAnnounced;
     return Refusal::none;
 }
 
-Refusal SendRules::check(const Attempt& attempt, Moment now) const {
+Refusal SendRules::check(const Attempt& attempt, TimePoint now) const {
     const std::lock_guard lock(mutex_);
     return checkLocked(attempt, now);
 }
 
-Refusal SendRules::begin(const Attempt& attempt, Moment now) {
+Refusal SendRules::begin(const Attempt& attempt, TimePoint now) {
     const std::lock_guard lock(mutex_);
     auto refusal = checkLocked(attempt, now);
-    if (refusal == Refusal::none && open_.count(attempt.message)) refusal = Refusal::alreadyOpen;
+    if (refusal == Refusal::none && openAttempts_.count(attempt.message)) refusal = Refusal::alreadyOpen;
     if (refusal == Refusal::alreadyOpen)
         violations_.count(Rule::overlap, attempt.message, "another attempt is open");
-    if (refusal == Refusal::none) open_.insert(attempt.message);
+    if (refusal == Refusal::none) openAttempts_.insert(attempt.message);
     else metrics::counter("attempts_refused_total", "reason", name(refusal)).add();
     return refusal;
 }
 
-void SendRules::sent(const Attempt& attempt, Moment at) {
+void SendRules::sent(const Attempt& attempt, TimePoint at) {
     const std::lock_guard lock(mutex_);
     const auto subject = attempt.message + " to " + attempt.endpoint;
-    if (!open_.count(attempt.message)) violations_.count(Rule::record, subject, "sent, and not on record");
-    if (attempt.number > limits_.attempts)
+    if (!openAttempts_.count(attempt.message))
+        violations_.count(Rule::record, subject, "sent, and not on record");
+    if (attempt.number > limits_.maxAttempts)
         violations_.count(Rule::attempts, subject, "attempt " + std::to_string(attempt.number));
-    if (at >= attempt.giveUpAt + kHeldUp)
-        violations_.count(Rule::deadline, subject, late(at, attempt.giveUpAt));
-    if (attempt.beginUntil != Moment::max() && at >= attempt.beginUntil + kHeldUp)
-        violations_.count(Rule::keyWindow, subject, late(at, attempt.beginUntil));
-    const auto ended = endedAt_.find(attempt.endpoint);
-    if (ended != endedAt_.end() && at >= ended->second + limits_.drainGrace)
-        violations_.count(Rule::drain, subject, late(at, ended->second));
+    if (at >= attempt.deadline + kSchedulingAllowance)
+        violations_.count(Rule::deadline, subject, delayText(at, attempt.deadline));
+    if (attempt.keyWindowEnd != TimePoint::max() && at >= attempt.keyWindowEnd + kSchedulingAllowance)
+        violations_.count(Rule::keyWindow, subject, delayText(at, attempt.keyWindowEnd));
+    const auto ended = notServingSince_.find(attempt.endpoint);
+    if (ended != notServingSince_.end() && at >= ended->second + limits_.drainGrace)
+        violations_.count(Rule::drain, subject, delayText(at, ended->second));
     const auto wait = waits_.find(attempt.destination);
-    if (wait != waits_.end() && at < wait->second.until && at >= wait->second.from + kWaitLetThrough)
-        violations_.count(Rule::wait, subject, late(at, wait->second.from));
+    if (wait != waits_.end() && at < wait->second.until &&
+        at >= wait->second.announcedAt + kInFlightAllowance)
+        violations_.count(Rule::wait, subject, delayText(at, wait->second.announcedAt));
 }
 
 void SendRules::end(const std::string& message) {
     const std::lock_guard lock(mutex_);
-    open_.erase(message);
+    openAttempts_.erase(message);
 }
 
-std::size_t SendRules::waits() const {
+std::size_t SendRules::waitCount() const {
     const std::lock_guard lock(mutex_);
     return waits_.size();
 }
--- a/src/rules/send_rules.hpp
+++ b/src/rules/send_rules.hpp
@@ -20,7 +20,7 @@
 namespace laurelhaven::rules {
 
 using Steady = std::chrono::steady_clock;
-using Moment = Steady::time_point;
+using TimePoint = Steady::time_point;
 using std::chrono::milliseconds;
 
 /// An endpoint as the list has it.
@@ -34,27 +34,27 @@
 struct Attempt {
     std::string message, endpoint, address;
     std::uint64_t destination = 0;
-    int number = 0;     ///< from 1 on
-    Moment giveUpAt;    ///< its answer is not waited for any longer
-    Moment beginUntil;  ///< the end of its key's window, where it is a repeat by key
+    int number = 0;          ///< from 1 on
+    TimePoint deadline;      ///< its answer is not waited for any longer
+    TimePoint keyWindowEnd;  ///< the end of its key's window, where it is a repeat by key
 };
 
 /// Why an attempt may not begin.
 enum class Refusal {
     none,
     deadlinePassed,
-    windowPassed,
+    keyWindowPassed,
     endpointNotListed,
     endpointNotServing,
     addressChanged,
-    toldToWait,
+    waitAnnounced,
     alreadyOpen
 };
 std::string_view name(Refusal refusal);
 
 struct Limits {
     milliseconds drainGrace{250};  ///< after which nothing new may go to an endpoint that was told to end
-    int attempts = 8;              ///< for one message
+    int maxAttempts = 8;           ///< for one message
 };
 
 class SendRules {
@@ -64,39 +64,40 @@
     // -- what has been told --
     void setEndpoint(const std::string& name, const Endpoint& endpoint);
     /// It drains, or has gone: nothing new may begin there from now on.
-    void endEndpoint(const std::string& name, Moment now);
-    void removeEndpoint(const std::string& name, Moment now);
+    void markNotServing(const std::string& name, TimePoint now);
+    void removeEndpoint(const std::string& name, TimePoint now);
     /// Nothing may go to the destination until then. The later of two waits holds.
-    void tellWait(std::uint64_t destination, Moment until, Moment now);
+    void extendWait(std::uint64_t destination, TimePoint until, TimePoint now);
     /// The end of the wait that the destination told last; in the past where there is none.
-    Moment waitUntil(std::uint64_t destination) const;
+    TimePoint waitUntil(std::uint64_t destination) const;
     /// Drops waits that are over and endpoints that ended long ago.
-    void forget(Moment now);
+    void pruneExpired(TimePoint now);
 
     // -- deciding --
-    Refusal check(const Attempt& attempt, Moment now) const;
+    Refusal check(const Attempt& attempt, TimePoint now) const;
     /// Checks, and opens the attempt where nothing speaks against it.
-    Refusal begin(const Attempt& attempt, Moment now);
+    Refusal begin(const Attempt& attempt, TimePoint now);
     /// It has been written, its first byte at that moment: that is held against the rules.
-    void sent(const Attempt& attempt, Moment at);
+    void sent(const Attempt& attempt, TimePoint at);
     /// The attempt has its outcome, or never left.
     void end(const std::string& message);
 
-    std::size_t waits() const;
+    std::size_t waitCount() const;
 
   private:
     struct Wait {
-        Moment from, until;
+        TimePoint announcedAt, until;
     };
-    Refusal checkLocked(const Attempt& attempt, Moment now) const;
+    Refusal checkLocked(const Attempt& attempt, TimePoint now) const;
 
     Limits limits_;
     Violations& violations_;
     mutable std::mutex mutex_;
     std::unordered_map<std::string, Endpoint> endpoints_;
-    std::unordered_map<std::string, Moment> endedAt_;  ///< endpoints that drain or have gone, since when
-    std::map<std::uint64_t, Wait> waits_;              ///< by destination
-    std::unordered_set<std::string> open_;             ///< messages with an attempt that has no outcome
+    std::unordered_map<std::string, TimePoint>
+        notServingSince_;                           ///< endpoints that drain or have gone, since when
+    std::map<std::uint64_t, Wait> waits_;           ///< by destination
+    std::unordered_set<std::string> openAttempts_;  ///< messages with an attempt that has no outcome
 };
 
 }  // namespace laurelhaven::rules
--- a/src/rules/violations.cpp
+++ b/src/rules/violations.cpp
@@ -8,7 +8,7 @@
 namespace laurelhaven::rules {
 
 std::string_view name(Rule rule) {
-    constexpr std::array<std::string_view, kRules> kNames{
+    constexpr std::array<std::string_view, kRuleCount> kNames{
         "drain",    "wait",       "overlap",      "attempts", "record",
         "deadline", "key_window", "final_answer", "late_end", "own_outcome"};
     return kNames[static_cast<std::size_t>(rule)];
@@ -20,7 +20,7 @@
     (log::error() << "rule violated").kv("rule", name(rule)).kv("subject", subject).kv("detail", detail);
 }
 
-std::uint64_t Violations::all() const {
+std::uint64_t Violations::total() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0},
                            [](std::uint64_t sum, const auto& one) { return sum + one.load(); });
 }
--- a/src/rules/violations.hpp
+++ b/src/rules/violations.hpp
@@ -23,7 +23,7 @@
     lateEnd,      ///< and that in time
     ownOutcome    ///< an outcome or an end is recorded only for the very attempt or message that it is of
 };
-constexpr std::size_t kRules = 10;
+constexpr std::size_t kRuleCount = 10;
 std::string_view name(Rule rule);
 
 /// Counts violations. Safe for use by several threads.
@@ -31,11 +31,11 @@
   public:
     /// Counts one, and logs it with what it concerns.
     void count(Rule rule, std::string_view subject, std::string_view detail);
-    std::uint64_t of(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
-    std::uint64_t all() const;
+    std::uint64_t countOf(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
+    std::uint64_t total() const;
 
   private:
-    std::array<std::atomic<std::uint64_t>, kRules> counts_{};
+    std::array<std::atomic<std::uint64_t>, kRuleCount> counts_{};
 };
 
 }  // namespace laurelhaven::rules
--- a/tests/clock/record_clock_test.cpp
+++ b/tests/clock/record_clock_test.cpp
@@ -21,23 +21,23 @@
 
 TEST(RecordClock, AStepOfTheWallClockMovesNothing) {
     for (const auto step : {-kHourMs, -2'000l, 2'000l, kHourMs}) {
-        const auto anchor = choose(kKept, {"boot-1", kWallMs + 10'000 + step, 15'000});
+        const auto anchor = chooseAnchor(kKept, {"boot-1", kWallMs + 10'000 + step, 15'000});
         EXPECT_EQ(lineAt(anchor, 15'000), kWallMs + 10'000) << step;
     }
 }
 
 TEST(RecordClock, AFirstStartBeginsAtTheWallClock) {
-    EXPECT_EQ(lineAt(choose({}, {"boot-1", kWallMs, 700}), 700), kWallMs);
+    EXPECT_EQ(lineAt(chooseAnchor({}, {"boot-1", kWallMs, 700}), 700), kWallMs);
 }
 
 // The monotonic clock has begun anew: only the wall clock spans that.
 TEST(RecordClock, ARestartOfTheMachineIsBridgedByTheWallClock) {
-    const auto byId = choose(kKept, {"boot-2", kWallMs + 60'000, 90'000});
+    const auto byId = chooseAnchor(kKept, {"boot-2", kWallMs + 60'000, 90'000});
     EXPECT_EQ(lineAt(byId, 90'000), kWallMs + 60'000);
     const Anchor noId{"", kWallMs - 50'000, 50'000};
-    const auto byReading = choose(noId, {"", kWallMs + 60'000, 3'000});
+    const auto byReading = chooseAnchor(noId, {"", kWallMs + 60'000, 3'000});
     EXPECT_EQ(lineAt(byReading, 3'000), kWallMs + 60'000);
-    EXPECT_EQ(choose(noId, {"", kWallMs, 60'000}).offsetMs, noId.offsetMs);
+    EXPECT_EQ(chooseAnchor(noId, {"", kWallMs, 60'000}).offsetMs, noId.offsetMs);
 }
 
 TEST(RecordClock, ALaterProcessGoesOnFromTheAnchorOnDisk) {
--- a/tests/laurelhaven/parser_test.cpp
+++ b/tests/laurelhaven/parser_test.cpp
@@ -249,16 +249,16 @@
 // again.
 void whatCameWholeIsAnswered() {
     using net::Unread;
-    using rules::Whole;
+    using rules::RequestDisposition;
     for (const bool told : {false, true}) {
-        CHECK(rules::whole(0, Unread::nothing, told) == Whole::answer);
-        CHECK(rules::whole(0, Unread::bytes, told) == Whole::refuse);
-        CHECK(rules::whole(3, Unread::end, told) == Whole::refuse);
+        CHECK(rules::requestDisposition(0, Unread::nothing, told) == RequestDisposition::answer);
+        CHECK(rules::requestDisposition(0, Unread::bytes, told) == RequestDisposition::rejectTrailingBytes);
+        CHECK(rules::requestDisposition(3, Unread::end, told) == RequestDisposition::rejectTrailingBytes);
     }
-    CHECK(rules::whole(0, Unread::end, false) == Whole::turnAway);
-    CHECK(rules::whole(0, Unread::broken, false) == Whole::leave);
-    CHECK(rules::whole(0, Unread::broken, true) == Whole::leave);
-    CHECK(rules::whole(0, Unread::end, true) == Whole::answer);
+    CHECK(rules::requestDisposition(0, Unread::end, false) == RequestDisposition::askToRetry);
+    CHECK(rules::requestDisposition(0, Unread::broken, false) == RequestDisposition::drop);
+    CHECK(rules::requestDisposition(0, Unread::broken, true) == RequestDisposition::drop);
+    CHECK(rules::requestDisposition(0, Unread::end, true) == RequestDisposition::answer);
 }
 
 void badConfigurationIsNamed() {
--- a/tests/metrics/metrics_test.cpp
+++ b/tests/metrics/metrics_test.cpp
@@ -29,7 +29,7 @@
         inTime = changed.wait_for(lock, std::chrono::seconds(5), [&] { return counted; });
         return 1.0;
     });
-    const auto text = metrics::text();
+    const auto text = metrics::renderText();
     owner.join();
     metrics::setGauge("test_gauge", {});
     EXPECT_TRUE(inTime) << "whoever counts waits until the gauge has been read";
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -20,10 +20,10 @@
         rules_.setEndpoint("e", {"127.0.0.1:1", 7, true});
     }
     Attempt attempt(const std::string& message = "m") const {
-        return {message, "e", "127.0.0.1:1", 7, 1, now_ + seconds(10), Moment::max()};
+        return {message, "e", "127.0.0.1:1", 7, 1, now_ + seconds(10), TimePoint::max()};
     }
 
-    const Moment now_ = Steady::now();
+    const TimePoint now_ = Steady::now();
     Violations violations_;
     SendRules rules_{{milliseconds(250), 3}, violations_};
 };
@@ -31,9 +31,9 @@
 TEST_F(SendRulesTest, LetsAnAttemptBeginOnce) {
     EXPECT_EQ(rules_.begin(attempt(), now_), Refusal::none);
     rules_.sent(attempt(), now_ + milliseconds(1));
-    EXPECT_EQ(violations_.all(), 0u);
+    EXPECT_EQ(violations_.total(), 0u);
     EXPECT_EQ(rules_.begin(attempt(), now_), Refusal::alreadyOpen);
-    EXPECT_EQ(violations_.of(Rule::overlap), 1u);
+    EXPECT_EQ(violations_.countOf(Rule::overlap), 1u);
     rules_.end("m");
     EXPECT_EQ(rules_.begin(attempt(), now_), Refusal::none);
 }
@@ -49,54 +49,54 @@
     other.address = "127.0.0.1:2";
     EXPECT_EQ(rules_.check(other, now_), Refusal::addressChanged);
     other = attempt();
-    other.beginUntil = now_;
-    EXPECT_EQ(rules_.check(other, now_), Refusal::windowPassed);
+    other.keyWindowEnd = now_;
+    EXPECT_EQ(rules_.check(other, now_), Refusal::keyWindowPassed);
     EXPECT_EQ(rules_.check(attempt(), now_ + seconds(10)), Refusal::deadlinePassed);
-    rules_.endEndpoint("e", now_);
+    rules_.markNotServing("e", now_);
     EXPECT_EQ(rules_.check(attempt(), now_), Refusal::endpointNotServing);
     rules_.setEndpoint("e", {"127.0.0.1:1", 7, true});
     EXPECT_EQ(rules_.check(attempt(), now_), Refusal::none);
 }
 
 TEST_F(SendRulesTest, TheLaterOfTwoWaitsHolds) {
-    rules_.tellWait(7, now_ + seconds(2), now_);
-    rules_.tellWait(7, now_ + seconds(1), now_);
-    EXPECT_EQ(rules_.check(attempt(), now_ + milliseconds(1500)), Refusal::toldToWait);
+    rules_.extendWait(7, now_ + seconds(2), now_);
+    rules_.extendWait(7, now_ + seconds(1), now_);
+    EXPECT_EQ(rules_.check(attempt(), now_ + milliseconds(1500)), Refusal::waitAnnounced);
     EXPECT_EQ(rules_.check(attempt(), now_ + seconds(2)), Refusal::none);
-    rules_.forget(now_ + seconds(3));
-    EXPECT_EQ(rules_.waits(), 0u);
+    rules_.pruneExpired(now_ + seconds(3));
+    EXPECT_EQ(rules_.waitCount(), 0u);
 }
 
 TEST_F(SendRulesTest, CountsWhatWasSentAgainstARule) {
     rules_.sent(attempt("nobody began it"), now_);
-    EXPECT_EQ(violations_.of(Rule::record), 1u);
+    EXPECT_EQ(violations_.countOf(Rule::record), 1u);
     EXPECT_EQ(rules_.begin(attempt(), now_), Refusal::none);
-    rules_.tellWait(7, now_ + seconds(5), now_);
+    rules_.extendWait(7, now_ + seconds(5), now_);
     rules_.sent(attempt(), now_ + milliseconds(99));
-    EXPECT_EQ(violations_.of(Rule::wait), 0u) << "what was on its way is let through";
+    EXPECT_EQ(violations_.countOf(Rule::wait), 0u) << "what was on its way is let through";
     rules_.sent(attempt(), now_ + milliseconds(101));
-    EXPECT_EQ(violations_.of(Rule::wait), 1u);
-    rules_.endEndpoint("e", now_);
+    EXPECT_EQ(violations_.countOf(Rule::wait), 1u);
+    rules_.markNotServing("e", now_);
     rules_.sent(attempt(), now_ + milliseconds(249));
-    EXPECT_EQ(violations_.of(Rule::drain), 0u);
+    EXPECT_EQ(violations_.countOf(Rule::drain), 0u);
     rules_.sent(attempt(), now_ + milliseconds(251));
-    EXPECT_EQ(violations_.of(Rule::drain), 1u);
+    EXPECT_EQ(violations_.countOf(Rule::drain), 1u);
     auto fourth = attempt();
     fourth.number = 4;
     rules_.sent(fourth, now_);
-    EXPECT_EQ(violations_.of(Rule::attempts), 1u);
+    EXPECT_EQ(violations_.countOf(Rule::attempts), 1u);
     auto late = attempt();
-    late.beginUntil = now_;
+    late.keyWindowEnd = now_;
     rules_.sent(late, now_ + milliseconds(200));
-    EXPECT_EQ(violations_.of(Rule::keyWindow), 1u);
-    EXPECT_NE(laurelhaven::metrics::text().find("laurelhaven_rule_violations_total{rule=\"drain\"}"),
+    EXPECT_EQ(violations_.countOf(Rule::keyWindow), 1u);
+    EXPECT_NE(laurelhaven::metrics::renderText().find("laurelhaven_rule_violations_total{rule=\"drain\"}"),
               std::string::npos);
 }
 
 TEST(RepeatRules, TheStricterOfThenAndNowCounts) {
     using stoathub::Effect;
     const auto counts = [](Effect then, Effect now, bool key) {
-        return std::max(effectOfFound(then, now, key), now);
+        return std::max(effectAfterRestart(then, now, key), now);
     };
     EXPECT_EQ(counts(Effect::pure, Effect::pure, false), Effect::pure);
     EXPECT_EQ(counts(Effect::keyed, Effect::keyed, true), Effect::keyed);
@@ -109,17 +109,19 @@
 
 TEST(ConnectionRules, WhatIsDoneWithGoesFirstAndARequestNever) {
     using P = ConnectionPhase;
-    const auto rank = [](P phase, int ms) { return closeRank(phase, milliseconds(ms), false); };
+    const auto rank = [](P phase, int ms) { return closePriority(phase, milliseconds(ms), false); };
     EXPECT_GT(rank(P::draining, 0), rank(P::idle, 2000));
     EXPECT_GT(rank(P::idle, 2000), rank(P::fresh, 300));
     EXPECT_GT(rank(P::fresh, 300), rank(P::reading, 600));
     EXPECT_GT(rank(P::reading, 600), rank(P::idle, 1999));
-    for (const auto phase : {P::answering, P::over}) EXPECT_FALSE(mayClose(rank(phase, 9999), Worth::all));
-    EXPECT_FALSE(mayClose(rank(P::fresh, 299), Worth::all));
-    EXPECT_FALSE(mayClose(rank(P::reading, 599), Worth::all));
-    EXPECT_FALSE(mayClose(closeRank(P::idle, seconds(9), true), Worth::all)) << "it is going already";
-    EXPECT_TRUE(mayClose(rank(P::idle, 2000), Worth::rested));
-    EXPECT_FALSE(mayClose(rank(P::fresh, 300), Worth::rested));
+    for (const auto phase : {P::answering, P::closed})
+        EXPECT_FALSE(mayClose(rank(phase, 9999), CloseScope::all));
+    EXPECT_FALSE(mayClose(rank(P::fresh, 299), CloseScope::all));
+    EXPECT_FALSE(mayClose(rank(P::reading, 599), CloseScope::all));
+    EXPECT_FALSE(mayClose(closePriority(P::idle, seconds(9), true), CloseScope::all))
+        << "it is going already";
+    EXPECT_TRUE(mayClose(rank(P::idle, 2000), CloseScope::longIdle));
+    EXPECT_FALSE(mayClose(rank(P::fresh, 300), CloseScope::longIdle));
 }
 
 }  // namespace
