--- a/adapter/drill.cpp
+++ b/adapter/drill.cpp
@@ -1,4 +1,8 @@
-// stoathub_drill: carries the bench's wire to Senders and back. It decides nothing.
+// stoathub_drill: adapter between the bench's protocol and stoathub.
+//
+// Reads events from standard input, one JSON object per line, and writes the actions of the senders to
+// standard output at the end of each batch. Malformed input ends the program with exit code 1 and one line on
+// standard error that names the input line. The adapter makes no decisions of its own.
 
 #include <algorithm>
 #include <iostream>
@@ -14,274 +18,283 @@
 using nlohmann::json;
 using namespace stoathub;
 
-[[noreturn]] void bad(const std::string& what) { throw std::runtime_error(what); }
+[[noreturn]] void throwError(const std::string& what) { throw std::runtime_error(what); }
 
 template <class T>
-T as(const json& v, const std::string& name) {
-    const bool fits = [&] {
-        if constexpr (std::is_same_v<T, bool>) return v.is_boolean();
-        else if constexpr (std::is_same_v<T, std::string>) return v.is_string();
-        else if constexpr (std::is_floating_point_v<T>) return v.is_number();
-        else return v.is_number_integer();
+T as(const json& value, const std::string& name) {
+    const bool typeMatches = [&] {
+        if constexpr (std::is_same_v<T, bool>) return value.is_boolean();
+        else if constexpr (std::is_same_v<T, std::string>) return value.is_string();
+        else if constexpr (std::is_floating_point_v<T>) return value.is_number();
+        else return value.is_number_integer();
     }();
-    if (!fits) bad("field '" + name + "' is of the wrong type");
+    if (!typeMatches) throwError("field '" + name + "' is of the wrong type");
     if constexpr (std::is_same_v<T, int>) {
-        const auto wide = v.get<std::int64_t>();
-        if (wide < INT32_MIN || wide > INT32_MAX) bad("field '" + name + "' is out of range");
-        return static_cast<int>(wide);
+        const auto number = value.get<std::int64_t>();
+        if (number < INT32_MIN || number > INT32_MAX) throwError("field '" + name + "' is out of range");
+        return static_cast<int>(number);
     } else {
-        return v.get<T>();
+        return value.get<T>();
     }
 }
 
 template <class T>
-T need(const json& o, const char* name) {
-    const auto it = o.find(name);
-    if (it == o.end() || it->is_null()) bad(std::string("field '") + name + "' is missing");
+T required(const json& fields, const char* name) {
+    const auto it = fields.find(name);
+    if (it == fields.end() || it->is_null()) throwError(std::string("field '") + name + "' is missing");
     return as<T>(*it, name);
 }
 
 template <class T>
-T get(const json& o, const char* name, T otherwise) {
-    const auto it = o.find(name);
-    return it == o.end() || it->is_null() ? otherwise : as<T>(*it, name);
+T valueOr(const json& fields, const char* name, T fallback) {
+    const auto it = fields.find(name);
+    return it == fields.end() || it->is_null() ? fallback : as<T>(*it, name);
 }
 
-Duration span(const json& o, const char* name) { return Duration(get<std::int64_t>(o, name, 0)); }
+Duration durationOr0(const json& fields, const char* name) {
+    return Duration(valueOr<std::int64_t>(fields, name, 0));
+}
 
-const json& child(const json& o, const char* name, json::value_t type) {
+const json& child(const json& fields, const char* name, json::value_t type) {
     static const json object = json::object();
     static const json array = json::array();
-    const auto it = o.find(name);
-    if (it == o.end() || it->is_null()) return type == json::value_t::object ? object : array;
-    if (it->type() != type) bad(std::string("field '") + name + "' is of the wrong type");
+    const auto it = fields.find(name);
+    if (it == fields.end() || it->is_null()) return type == json::value_t::object ? object : array;
+    if (it->type() != type) throwError(std::string("field '") + name + "' is of the wrong type");
     return *it;
 }
-const json& object(const json& o, const char* name) { return child(o, name, json::value_t::object); }
-const json& array(const json& o, const char* name) { return child(o, name, json::value_t::array); }
+const json& object(const json& fields, const char* name) {
+    return child(fields, name, json::value_t::object);
+}
+const json& array(const json& fields, const char* name) { return child(fields, name, json::value_t::array); }
 
 template <class T>
-T oneOf(const json& o, const char* name, const std::map<std::string, T>& words) {
-    const auto word = need<std::string>(o, name);
-    const auto it = words.find(word);
-    if (it == words.end()) bad(std::string("field '") + name + "' has the unknown value '" + word + "'");
+T enumValue(const json& fields, const char* name, const std::map<std::string, T>& values) {
+    const auto word = required<std::string>(fields, name);
+    const auto it = values.find(word);
+    if (it == values.end())
+        throwError(std::string("field '") + name + "' has the unknown value '" + word + "'");
     return it->second;
 }
 
-Settings settings(const json& p) {
+Settings settings(const json& params) {
     Settings s;
-    for (const auto& g : array(p, "grades")) {
-        MessageClass grade;
-        grade.effect = oneOf<Effect>(
-            g, "effect", {{"pure", Effect::pure}, {"token", Effect::keyed}, {"side_effect", Effect::unsafe}});
-        grade.keyScope = get<std::string>(g, "key-scope", "all") == "all" ? KeyScope::all : KeyScope::zone;
-        grade.keyWindow = span(g, "key-ttl-ns");
-        grade.deliveryTarget = span(g, "slo-ns");
-        grade.timeToLive = span(g, "give-up-ns");
-        grade.value = get(g, "credit", 1.0);
-        grade.lateValueShare = get(g, "late-share", 0.0);
-        grade.inOrder = get(g, "in-turn", false);
-        s.messageClasses.push_back(grade);
+    for (const auto& entry : array(params, "grades")) {
+        MessageClass messageClass;
+        messageClass.effect = enumValue<Effect>(
+            entry, "effect",
+            {{"pure", Effect::pure}, {"token", Effect::keyed}, {"side_effect", Effect::unsafe}});
+        messageClass.keyScope =
+            valueOr<std::string>(entry, "key-scope", "all") == "all" ? KeyScope::all : KeyScope::zone;
+        messageClass.keyWindow = durationOr0(entry, "key-ttl-ns");
+        messageClass.deliveryTarget = durationOr0(entry, "slo-ns");
+        messageClass.timeToLive = durationOr0(entry, "give-up-ns");
+        messageClass.value = valueOr(entry, "credit", 1.0);
+        messageClass.lateValueShare = valueOr(entry, "late-share", 0.0);
+        messageClass.inOrder = valueOr(entry, "in-turn", false);
+        s.messageClasses.push_back(messageClass);
     }
-    const json& domain = object(p, "domain");
-    const json& apart = array(domain, "separate-routes");
-    s.kinds.resize(std::max(array(p, "kinds").size(), apart.size()));
-    for (std::size_t i = 0; i < apart.size(); ++i)
-        s.kinds[i].separateRoutes = as<bool>(apart[i], "separate-routes");
-    s.senders = get(p, "balancers", 1);
-    s.slots = need<int>(domain, "max-calls");
+    const json& domain = object(params, "domain");
+    const json& separateRoutes = array(domain, "separate-routes");
+    s.kinds.resize(std::max(array(params, "kinds").size(), separateRoutes.size()));
+    for (std::size_t i = 0; i < separateRoutes.size(); ++i)
+        s.kinds[i].separateRoutes = as<bool>(separateRoutes[i], "separate-routes");
+    s.senders = valueOr(params, "balancers", 1);
+    s.slots = required<int>(domain, "max-calls");
     s.decay =
-        get<std::string>(domain, "loses-worth", "even") == "by_half" ? Decay::exponential : Decay::linear;
-    const json& limits = object(p, "limits");
-    s.maxHeld = need<int>(limits, "max-open");
-    s.maxAttempts = need<int>(limits, "attempts-cap");
-    s.mayCancel = get(limits, "cancelling", false);
-    s.maxRetryAfter = span(limits, "max-retry-after-ns");
-    s.connectTimeout = span(limits, "connect-timeout-ns");
-    s.keepAlive = span(limits, "keepalive-ns");
-    s.listOnRequest = get<std::string>(p, "membership-mode", "pushed") == "on_request";
-    const auto weights = get<std::string>(p, "weights", "none");
+        valueOr<std::string>(domain, "loses-worth", "even") == "by_half" ? Decay::exponential : Decay::linear;
+    const json& limits = object(params, "limits");
+    s.maxHeld = required<int>(limits, "max-open");
+    s.maxAttempts = required<int>(limits, "attempts-cap");
+    s.mayCancel = valueOr(limits, "cancelling", false);
+    s.maxRetryAfter = durationOr0(limits, "max-retry-after-ns");
+    s.connectTimeout = durationOr0(limits, "connect-timeout-ns");
+    s.keepAlive = durationOr0(limits, "keepalive-ns");
+    s.listOnRequest = valueOr<std::string>(params, "membership-mode", "pushed") == "on_request";
+    const auto weights = valueOr<std::string>(params, "weights", "none");
     s.weights = weights == "nominal" ? Weights::nominal : weights == "rough" ? Weights::rough : Weights::none;
-    const json& safety = object(p, "safety");
-    s.coldCapacityShare = get(safety, "cold-from", 1.0);
-    s.warmUp = span(safety, "warm-up-ns");
-    s.overloadMultiple = get(safety, "fall-multiple", 0.0);
-    s.orderingPause = span(safety, "order-settle-ns");
+    const json& safety = object(params, "safety");
+    s.coldCapacityShare = valueOr(safety, "cold-from", 1.0);
+    s.warmUp = durationOr0(safety, "warm-up-ns");
+    s.overloadMultiple = valueOr(safety, "fall-multiple", 0.0);
+    s.orderingPause = durationOr0(safety, "order-settle-ns");
     return s;
 }
 
-Outcome outcome(const json& o) {
+Outcome outcome(const json& fields) {
     static const std::map<std::string, Result> results{
         {"delivered", Result::delivered}, {"app_error", Result::error},
         {"shed", Result::rejected},       {"expired", Result::timeout},
         {"dropped", Result::reset},       {"dial_failed", Result::connectFailed},
         {"revoked", Result::cancelled},   {"unused", Result::notForwarded}};
     Outcome out;
-    out.id = need<std::string>(o, "handle");
-    out.endpoint = need<std::string>(o, "receiver");
-    out.attempt = get(o, "go", 0);
-    out.result = oneOf(o, "result", results);
-    out.took = span(o, "cost-time-ns");
-    const auto note = get<std::int64_t>(o, "wait-ms", 0);
-    if (out.result == Result::rejected) out.retryAfter = std::chrono::milliseconds(note);
-    out.concluded = get(o, "over", false);
-    const json& usage = object(o, "usage");
+    out.id = required<std::string>(fields, "handle");
+    out.endpoint = required<std::string>(fields, "receiver");
+    out.attempt = valueOr(fields, "go", 0);
+    out.result = enumValue(fields, "result", results);
+    out.took = durationOr0(fields, "cost-time-ns");
+    const auto waitMs = valueOr<std::int64_t>(fields, "wait-ms", 0);
+    if (out.result == Result::rejected) out.retryAfter = std::chrono::milliseconds(waitMs);
+    out.concluded = valueOr(fields, "over", false);
+    const json& usage = object(fields, "usage");
     if (usage.contains("x0")) out.allowanceLeft = as<double>(usage["x0"], "x0");
     if (usage.contains("x1")) out.allowedRate = as<double>(usage["x1"], "x1");
     return out;
 }
 
-MessageAccepted handed(const json& o) {
-    MessageAccepted h;
-    h.id = need<std::string>(o, "handle");
-    h.destination = need<std::uint64_t>(o, "to-exchange");
-    h.messageClass = get(o, "service", 0);
-    h.timeLeft = Duration(need<std::int64_t>(o, "grace-ns"));
-    if (o.contains("entity") && !o["entity"].is_null()) h.orderKey = as<std::uint64_t>(o["entity"], "entity");
-    return h;
+MessageAccepted messageAccepted(const json& fields) {
+    MessageAccepted accepted;
+    accepted.id = required<std::string>(fields, "handle");
+    accepted.destination = required<std::uint64_t>(fields, "to-exchange");
+    accepted.messageClass = valueOr(fields, "service", 0);
+    accepted.timeLeft = Duration(required<std::int64_t>(fields, "grace-ns"));
+    if (fields.contains("entity") && !fields["entity"].is_null())
+        accepted.orderKey = as<std::uint64_t>(fields["entity"], "entity");
+    return accepted;
 }
 
-std::vector<Endpoint> endpoints(const json& o) {
+std::vector<Endpoint> endpoints(const json& fields) {
     std::vector<Endpoint> list;
-    for (const auto& e : array(o, "elements")) {
-        Endpoint ep;
-        ep.id = need<std::string>(e, "receiver");
-        ep.destination = need<std::uint64_t>(e, "destination");
-        ep.kind = get(e, "kind", 0);
-        ep.zone = get(e, "region-part", 0);
-        ep.state = oneOf<EndpointState>(e, "state",
-                                        {{"in_service", EndpointState::inService},
-                                         {"terminating", EndpointState::draining},
-                                         {"terminated", EndpointState::removed}});
-        ep.weight = get(e, "capacity-hint", 0.0);
-        list.push_back(std::move(ep));
+    for (const auto& entry : array(fields, "elements")) {
+        Endpoint endpoint;
+        endpoint.id = required<std::string>(entry, "receiver");
+        endpoint.destination = required<std::uint64_t>(entry, "destination");
+        endpoint.kind = valueOr(entry, "kind", 0);
+        endpoint.zone = valueOr(entry, "region-part", 0);
+        endpoint.state = enumValue<EndpointState>(entry, "state",
+                                                  {{"in_service", EndpointState::inService},
+                                                   {"terminating", EndpointState::draining},
+                                                   {"terminated", EndpointState::removed}});
+        endpoint.weight = valueOr(entry, "capacity-hint", 0.0);
+        list.push_back(std::move(endpoint));
     }
     return list;
 }
 
-/// One sender with the events of the batch now being read.
-struct Seat {
+/// One sender, with its events in the current batch.
+struct Instance {
     std::unique_ptr<Sender> sender;
     std::vector<Event> events;
-    bool touched = false;
+    bool active = false;
 };
 
-class Drill {
+class Adapter {
   public:
-    void line(const std::string& text) {
+    void handleLine(const std::string& text) {
         const json message = json::parse(text);
-        if (!message.is_object() || message.size() != 1) bad("not an object with a single key");
+        if (!message.is_object() || message.size() != 1) throwError("not an object with a single key");
         const std::string name = message.begin().key();
         const json& body = message.begin().value();
-        if (!body.is_object()) bad("'" + name + "' is not an object");
+        if (!body.is_object()) throwError("'" + name + "' is not an object");
         if (name == "BeginBatch") {
-            if (open_) bad("'BeginBatch' inside a batch");
-            open_ = true;
-            now_ = Time(Duration(need<std::int64_t>(body, "wall-ns")));
+            if (inBatch_) throwError("'BeginBatch' inside a batch");
+            inBatch_ = true;
+            now_ = Time(Duration(required<std::int64_t>(body, "wall-ns")));
             return;
         }
-        if (!open_) bad("'" + name + "' outside a batch");
-        if (name == "EofBatch") return reply();
+        if (!inBatch_) throwError("'" + name + "' outside a batch");
+        if (name == "EofBatch") return endBatch();
         if (name == "Manifest") {
-            lists_[need<int>(body, "set-id")] = endpoints(body);
+            lists_[required<int>(body, "set-id")] = endpoints(body);
             return;
         }
-        const int i = need<int>(body, "i");
+        const int i = required<int>(body, "i");
         if (name == "Attach") {
-            seats_[i] = {std::make_unique<Sender>(settings(object(body, "params")),
-                                                  need<std::uint64_t>(body, "init-seed")),
-                         {},
-                         false};
-            touch(i, seats_[i]);
+            instances_[i] = {std::make_unique<Sender>(settings(object(body, "params")),
+                                                      required<std::uint64_t>(body, "init-seed")),
+                             {},
+                             false};
+            markActive(i, instances_[i]);
             return;
         }
-        const auto seat = seats_.find(i);
-        if (seat == seats_.end()) bad("'" + name + "' for the unknown instance " + std::to_string(i));
+        const auto instance = instances_.find(i);
+        if (instance == instances_.end())
+            throwError("'" + name + "' for the unknown instance " + std::to_string(i));
         if (name == "PowerOff") {
-            seats_.erase(seat);
+            instances_.erase(instance);
             return;
         }
-        touch(i, seat->second);
-        if (auto event = read(name, body)) seat->second.events.push_back(std::move(*event));
+        markActive(i, instance->second);
+        if (auto event = read(name, body)) instance->second.events.push_back(std::move(*event));
     }
-    bool inBatch() const { return open_; }
+    bool inBatch() const { return inBatch_; }
 
   private:
-    void touch(int i, Seat& seat) {
-        if (!seat.touched) touched_.push_back(i);
-        seat.touched = true;
+    void markActive(int i, Instance& instance) {
+        if (!instance.active) active_.push_back(i);
+        instance.active = true;
     }
 
     std::optional<Event> read(const std::string& name, const json& body) {
-        if (name == "Order") return handed(body);
+        if (name == "Order") return messageAccepted(body);
         if (name == "Response") return outcome(body);
-        if (name == "TimedOutClient") return MessageWithdrawn{need<std::string>(body, "handle")};
+        if (name == "TimedOutClient") return MessageWithdrawn{required<std::string>(body, "handle")};
         if (name == "Fired") return TimerFired{};
         if (name == "Fleet") {
-            EndpointListUpdate news;
-            news.kind = oneOf<ListUpdateKind>(body, "kind",
-                                              {{"diff", ListUpdateKind::delta},
-                                               {"snapshot", ListUpdateKind::full},
-                                               {"disk", ListUpdateKind::saved},
-                                               {"error", ListUpdateKind::failed}});
-            if (news.kind != ListUpdateKind::failed) {
-                const int id = need<int>(body, "set-id");
+            EndpointListUpdate update;
+            update.kind = enumValue<ListUpdateKind>(body, "kind",
+                                                    {{"diff", ListUpdateKind::delta},
+                                                     {"snapshot", ListUpdateKind::full},
+                                                     {"disk", ListUpdateKind::saved},
+                                                     {"error", ListUpdateKind::failed}});
+            if (update.kind != ListUpdateKind::failed) {
+                const int id = required<int>(body, "set-id");
                 const auto list = lists_.find(id);
-                if (list == lists_.end()) bad("'Fleet' names the unknown list " + std::to_string(id));
-                news.entries = list->second;
+                if (list == lists_.end()) throwError("'Fleet' names the unknown list " + std::to_string(id));
+                update.entries = list->second;
             }
-            return news;
+            return update;
         }
-        // Streams, probes and notes of other senders are not used by this module: they are passed over.
+        // The module does not use streams, probes and notes of other senders.
         if (name == "Streaming" || name == "ProbeDone" || name == "Whisper") return std::nullopt;
-        bad("unknown message '" + name + "'");
+        throwError("unknown message '" + name + "'");
     }
 
-    void put(int i, const char* name, json body) {
+    void writeAction(int i, const char* name, json body) {
         body["i"] = i;
         out_ += json{{name, std::move(body)}}.dump();
         out_ += '\n';
     }
     void write(int i, const Action& action) {
         if (const auto* send = std::get_if<Send>(&action))
-            put(i, "Forward",
-                {{"handle", send->id},
-                 {"receiver", send->endpoint},
-                 {"try-until-ns", send->attemptDeadline.time_since_epoch().count()}});
+            writeAction(i, "Forward",
+                        {{"handle", send->id},
+                         {"receiver", send->endpoint},
+                         {"try-until-ns", send->attemptDeadline.time_since_epoch().count()}});
         else if (const auto* refuse = std::get_if<Refuse>(&action))
-            put(i, "Decline", {{"handle", refuse->id}, {"retry-in-ns", refuse->retryIn.count()}});
+            writeAction(i, "Decline", {{"handle", refuse->id}, {"retry-in-ns", refuse->retryIn.count()}});
         else if (const auto* fail = std::get_if<Fail>(&action))
-            put(i, "RespondError", {{"handle", fail->id}});
+            writeAction(i, "RespondError", {{"handle", fail->id}});
         else if (const auto* cancel = std::get_if<Cancel>(&action))
-            put(i, "Withdraw", {{"handle", cancel->id}, {"go", cancel->attempt}});
-        else if (const auto* wake = std::get_if<SetTimer>(&action))
-            put(i, "Timer", {{"offset-ns", wake->after.count()}, {"handle", "wake"}});
+            writeAction(i, "Withdraw", {{"handle", cancel->id}, {"go", cancel->attempt}});
+        else if (const auto* timer = std::get_if<SetTimer>(&action))
+            writeAction(i, "Timer", {{"offset-ns", timer->after.count()}, {"handle", "wake"}});
         else if (const auto* close = std::get_if<CloseIdleConnections>(&action))
-            put(i, "HangUp", {{"receiver", close->endpoint}});
-        else put(i, "Follow", {{"on", true}});
+            writeAction(i, "HangUp", {{"receiver", close->endpoint}});
+        else writeAction(i, "Follow", {{"on", true}});
     }
 
-    void reply() {
+    void endBatch() {
         out_.clear();
-        std::sort(touched_.begin(), touched_.end());
-        for (const int i : touched_) {
-            const auto found = seats_.find(i);
-            if (found == seats_.end() || !found->second.touched) continue;
-            Seat& seat = found->second;
-            for (const auto& action : seat.sender->turn(now_, seat.events)) write(i, action);
-            seat.events.clear();
-            seat.touched = false;
+        std::sort(active_.begin(), active_.end());
+        for (const int i : active_) {
+            const auto found = instances_.find(i);
+            if (found == instances_.end() || !found->second.active) continue;
+            Instance& instance = found->second;
+            for (const auto& action : instance.sender->turn(now_, instance.events)) write(i, action);
+            instance.events.clear();
+            instance.active = false;
         }
-        touched_.clear();
+        active_.clear();
         out_ += "{\"Yield\":{}}\n";
         std::cout << out_ << std::flush;
-        open_ = false;
+        inBatch_ = false;
     }
 
-    bool open_ = false;
+    bool inBatch_ = false;
     Time now_{};
-    std::map<int, Seat> seats_;
-    std::vector<int> touched_;  // seats with events in this batch
+    std::map<int, Instance> instances_;
+    std::vector<int> active_;  // instances with events in this batch
     std::map<int, std::vector<Endpoint>> lists_;
     std::string out_;
 };
@@ -290,18 +303,18 @@
 
 int main() {
     std::ios::sync_with_stdio(false);
-    Drill drill;
+    Adapter adapter;
     std::string text;
     for (std::size_t number = 1; std::getline(std::cin, text); ++number) {
         if (text.empty()) continue;
         try {
-            drill.line(text);
+            adapter.handleLine(text);
         } catch (const std::exception& e) {
             std::cerr << "stoathub_drill: line " << number << ": " << e.what() << '\n';
             return 1;
         }
     }
-    if (drill.inBatch()) {
+    if (adapter.inBatch()) {
         std::cerr << "stoathub_drill: input ended inside a batch\n";
         return 1;
     }
--- a/include/stoathub/stoathub.hpp
+++ b/include/stoathub/stoathub.hpp
@@ -1,10 +1,10 @@
-// stoathub: the decisions of one sender of an outbound gateway.
+// stoathub: the delivery decisions of one sender of outbound messages.
 //
-// A Sender is built from settings and a seed. The caller gathers what happened since the last turn, calls
-// turn() with the time and these events, and carries out the returned actions in their order before the next
-// turn. The library does no I/O, reads no clock, starts no thread and has no globals: the same settings, seed
-// and turns give the same actions. A Sender must not be used by two threads at once; separate Senders share
-// nothing. All decisions are in src/sender.cpp.
+// A Sender is built from settings and a seed. The caller collects events, passes them to turn() together with
+// the current time, and carries out the returned actions in order before the next turn. The library does no
+// I/O, reads no clock, starts no threads and has no global state: the same settings, seed and turns give the
+// same actions. A Sender is not thread-safe; separate Senders share nothing. The implementation is in
+// src/sender.cpp.
 #pragma once
 
 #include <chrono>
@@ -18,7 +18,7 @@
 namespace stoathub {
 
 using Duration = std::chrono::nanoseconds;
-/// The caller's clock. It may begin anywhere, and must never go back.
+/// The caller's clock. Its epoch is arbitrary, and it must never go back.
 struct Clock {
     using duration = Duration;
     using rep = duration::rep;
@@ -28,56 +28,62 @@
 };
 using Time = Clock::time_point;
 
-using MessageId = std::string;   ///< unique for the life of a Sender
-using EndpointId = std::string;  ///< as the list of endpoints names it
+using MessageId = std::string;   ///< unique for the lifetime of a Sender
+using EndpointId = std::string;  ///< as in the list of endpoints
 using DestinationId = std::uint64_t;
 using OrderKey = std::uint64_t;
 
-/// What a repeat of a message may do: nothing, nothing while its key is remembered, or a second effect.
+/// Effect of delivering a message repeatedly. `pure`: repeats are harmless. `keyed`: repeats have no effect
+/// while the receiver remembers the message's idempotency key. `unsafe`: each repeat may take effect again.
 enum class Effect { pure, keyed, unsafe };
-/// Which endpoints of a destination drop repeats of a keyed message.
+/// Which endpoints of a destination drop repeats of a keyed message: all, or those of one zone.
 enum class KeyScope { all, zone };
-/// How worth falls after the aim: evenly down to the late share at the deadline, or by half with each aim.
+/// How the value of a delivery falls after the delivery target. `linear`: down to the late value share at the
+/// deadline. `exponential`: by half with each further delivery target, and never below the late value share.
 enum class Decay { linear, exponential };
-/// What Endpoint::weight holds: nothing, the calls a second its destination takes, or that up to half wrong.
+/// Meaning of Endpoint::weight. `none`: unused. `nominal`: the rate limit of the destination in requests per
+/// second. `rough`: the same, but wrong by up to half.
 enum class Weights { none, nominal, rough };
 
-/// One class of message.
+/// Delivery requirements shared by a class of messages.
 struct MessageClass {
     Effect effect = Effect::pure;
     KeyScope keyScope = KeyScope::all;
     Duration keyWindow{};       ///< how long repeats are dropped, from the first attempt that may have run
-    Duration deliveryTarget{};  ///< delivered within this time it earns its full worth
-    Duration timeToLive{};      ///< how long it may be delivered, from when it was first handed in
-    double value = 1;           ///< of a message delivered within the aim
-    double lateValueShare = 0;  ///< share of the worth left at the deadline
-    bool inOrder = false;       ///< messages with one key go one at a time
+    Duration deliveryTarget{};  ///< time within which a message earns its full value
+    Duration timeToLive{};      ///< how long a message may be delivered, from its first submission
+    double value = 1;           ///< of a message delivered within the delivery target
+    double lateValueShare = 0;  ///< share of the value left at the deadline
+    bool inOrder = false;       ///< messages with the same order key are sent one at a time, in order
 };
 
-/// One kind of destination.
+/// Properties shared by a kind of destinations.
 struct DestinationKind {
-    bool separateRoutes = false;  ///< its endpoints each have a limit, pace and outages of their own
+    /// Each endpoint has a rate limit, announced waits and outages of its own, rather than the destination.
+    bool separateRoutes = false;
 };
 
-/// What a sender is told at its start. Defaults stand for "not told".
+/// Configuration of a Sender. A default value means "not configured".
 struct Settings {
     std::vector<MessageClass> messageClasses;  ///< at least one
-    std::vector<DestinationKind> kinds;        ///< may be empty: plain destinations
-    int senders = 1;                           ///< how many senders there are
-    int slots = 1;                             ///< calls out at once
+    std::vector<DestinationKind> kinds;        ///< may be empty: all destinations use the defaults
+    int senders = 1;                           ///< number of senders that share the destinations
+    int slots = 1;                             ///< attempts in flight at once
     int maxHeld = 1;                           ///< messages held at once
-    int maxAttempts = 1;                       ///< for one message
-    bool mayCancel = false;
-    bool listOnRequest = false;  ///< the list of endpoints comes only when asked for
-    Duration maxRetryAfter{};    ///< the longest Refuse::retryIn that a client heeds; 0: not told
+    int maxAttempts = 1;                       ///< per message
+    bool mayCancel = false;                    ///< Cancel actions are allowed
+    bool listOnRequest = false;                ///< the list of endpoints arrives only after SubscribeToList
+    Duration maxRetryAfter{};                  ///< longest Refuse::retryIn that clients honour; 0: no bound
     Duration connectTimeout{};
-    Duration keepAlive{};
+    Duration keepAlive{};  ///< how long an idle connection stays open
     Decay decay = Decay::linear;
     Weights weights = Weights::none;
-    double coldCapacityShare = 1;  ///< share of its capacity a destination has when back from an outage
-    Duration warmUp{};             ///< all of it after this
-    double overloadMultiple = 0;   ///< this multiple of its capacity pushes a cold one over; 0: nothing does
-    Duration orderingPause{};      ///< rest of a key after an attempt that may still be running
+    double coldCapacityShare = 1;  ///< share of its capacity that a destination has right after an outage
+    Duration warmUp{};             ///< time after an outage until it has its full capacity again
+    /// A destination that is warming up fails when it receives this multiple of its current capacity; 0: it
+    /// never does.
+    double overloadMultiple = 0;
+    Duration orderingPause{};  ///< pause of an order key after an attempt that may still be running
 };
 
 enum class EndpointState { inService, draining, removed };
@@ -92,77 +98,78 @@
 
 // ---- events ----
 
-/// What an earlier life of the sender had done with a message that it still owes its end.
+/// What a previous run of the sender did with a message that has no final answer yet.
 struct PriorAttempts {
-    int attempts = 0;            ///< sent: the limit spans restarts
-    int failures = 0;            ///< attempts known to have failed otherwise than as full
-    bool mayHaveRun = false;     ///< one of them may have run
-    Duration sinceMayHaveRun{};  ///< since the first that may have was sent: the key's window spans restarts
+    int attempts = 0;            ///< sent; the attempt limit holds across restarts
+    int failures = 0;            ///< attempts known to have failed, not counting rejected ones
+    bool mayHaveRun = false;     ///< at least one of them may have run
+    Duration sinceMayHaveRun{};  ///< since the first such attempt was sent; the key window spans restarts
 };
 
-/// A message was taken; the sender owes it one final answer.
+/// A message was accepted. The sender must give it exactly one final answer.
 struct MessageAccepted {
     MessageId id;
     DestinationId destination = 0;
-    int messageClass = 0;
-    Duration timeLeft{};  ///< how long from now it may still be delivered
+    int messageClass = 0;  ///< index into Settings::messageClasses
+    Duration timeLeft{};   ///< from now until its deadline
     std::optional<OrderKey> orderKey{};
-    std::optional<PriorAttempts> priorAttempts{};  ///< it was taken by an earlier life
-    Effect minimumEffect = Effect::pure;           ///< held to this, where its class is held to less
+    std::optional<PriorAttempts> priorAttempts{};  ///< set if a previous run accepted the message
+    Effect minimumEffect = Effect::pure;  ///< the stricter of this and the effect of its class applies
 };
 
 enum class Result {
-    delivered,      ///< done
+    delivered,      ///< the endpoint confirmed the delivery
     error,          ///< answered with an error; it may have run
-    rejected,       ///< turned away unseen
+    rejected,       ///< refused before processing, for lack of capacity or because of a rate limit
     timeout,        ///< no answer in time; it may have run
-    connectFailed,  ///< never connected
+    connectFailed,  ///< no connection was established
     reset,          ///< the connection broke; it may have run
-    cancelled,      ///< called off; it may have run
-    notForwarded,   ///< not passed on; it counts as an attempt
-    unsent          ///< never left this machine, for a cause of its own or for a rule: no attempt was made
+    cancelled,      ///< cancelled by the sender; it may have run
+    notForwarded,   ///< not passed on to the service; counts as an attempt
+    unsent          ///< never left this machine, by a local failure or a rule; does not count as an attempt
 };
-/// How one attempt ended: exactly one for each Send.
+/// How one attempt ended. Each Send is answered by exactly one Outcome.
 struct Outcome {
     MessageId id;
     EndpointId endpoint;
     int attempt = 0;  ///< counted from 0 for each message
     Result result = Result::delivered;
-    Duration took{};                        ///< since it was sent
-    Duration retryAfter{};                  ///< for full: send nothing for so long; 0: not told
-    bool concluded = false;                 ///< the message is concluded and owed nothing more
-    std::optional<double> allowanceLeft{};  ///< share of the destination's limit left, if told
-    std::optional<double> allowedRate{};    ///< the limit in calls a second, 0 for none, if told
-    /// For reset: a connection kept from before broke as soon as it was used. That says nothing of the
-    /// endpoint's health: it may close such a connection at any time.
+    Duration took{};                        ///< since the attempt was sent
+    Duration retryAfter{};                  ///< for `rejected`: announced wait; 0: none announced
+    bool concluded = false;                 ///< the message needs no final answer any more
+    std::optional<double> allowanceLeft{};  ///< reported share of the destination's rate limit that is unused
+    std::optional<double> allowedRate{};    ///< reported rate limit, requests per second; 0: no limit
+    /// For `reset`: a reused connection broke on first use. The endpoint may close an idle connection at any
+    /// time, so this says nothing about its health.
     bool stale = false;
 };
 
-/// The client withdrew the message, or its time is up. Nothing more is owed for it.
+/// The client withdrew the message, or its time is up. It needs no final answer any more.
 struct MessageWithdrawn {
     MessageId id;
 };
-/// A SetTimer came due.
+/// The timer of a SetTimer action expired.
 struct TimerFired {};
 
 enum class ListUpdateKind { delta, full, saved, failed };
-/// News of the list of endpoints. `failed` answers a SubscribeToList in vain and carries no entries.
+/// An update of the list of endpoints. `delta`: only the entries that changed. `full`: the whole list.
+/// `saved`: the whole list as a previous run stored it. `failed`: a SubscribeToList failed; no entries.
 struct EndpointListUpdate {
     ListUpdateKind kind = ListUpdateKind::full;
     std::vector<Endpoint> entries;
 };
 
-/// What an earlier life knew of a destination, or how far what is known of it may be believed. Both only ever
-/// slow the sends down.
+/// What a previous run knew about a destination, or whether that knowledge has been confirmed. As an event it
+/// can only slow the sending down.
 struct DestinationHealth {
     DestinationId destination = 0;
-    bool down = false;                        ///< in an outage, as far as seen
-    std::optional<Duration> sinceRecovery{};  ///< so long ago its last outage ended
-    double rateLimit = 0;                     ///< its limit in calls a second for all senders; 0: not known
-    /// Nobody has confirmed it of late, so it may be down or cold: one call first, and then little more than
-    /// what it delivers, until it has had the time to warm up.
+    bool down = false;                        ///< in an outage
+    std::optional<Duration> sinceRecovery{};  ///< since its last outage ended
+    double rateLimit = 0;  ///< in requests per second, for all senders together; 0: unknown
+    /// Its health has not been confirmed recently, so it may be down or warming up: the sender makes a single
+    /// attempt first, then little more than what the destination delivers, until the warm-up time has passed.
     bool unconfirmed = false;
-    bool probed = false;  ///< a probe has reached it just now, and weighs like a call
+    bool probed = false;  ///< a probe has just reached it, which loads it like an attempt
 };
 
 using Event = std::variant<MessageAccepted, Outcome, MessageWithdrawn, TimerFired, EndpointListUpdate,
@@ -170,67 +177,67 @@
 
 // ---- actions ----
 
-/// Call the endpoint with the message; give the attempt up at tryUntil. If it has not gone out by goBy, it
-/// must not go at all, and is moot.
+/// Send the message to the endpoint, and abandon the attempt at `attemptDeadline`. An attempt that has not
+/// been sent by `sendBy` must not be sent; its result is then `notForwarded`.
 struct Send {
     MessageId id;
     EndpointId endpoint;
     Time attemptDeadline;
     Time sendBy = Time::max();
 };
-/// Final answer: not delivered, and safe to hand in again, after retryIn if that is above 0.
+/// Final answer: not delivered, and safe to submit again, after `retryIn` if that is above 0.
 struct Refuse {
     MessageId id;
     Duration retryIn{};
 };
-/// Final answer: given up, with no promise about its effect.
+/// Final answer: not delivered as far as known, but it may have taken effect.
 struct Fail {
     MessageId id;
 };
-/// Stop waiting for one attempt; its Outcome still comes.
+/// Cancel one attempt. Its Outcome still has to be reported.
 struct Cancel {
     MessageId id;
     int attempt = 0;
 };
-/// Bring a TimerFired this long from now.
+/// Report TimerFired after this time.
 struct SetTimer {
     Duration after{};
 };
-/// Subscribe to changes of the list. A EndpointListUpdate answers.
+/// Subscribe to changes of the list of endpoints. An EndpointListUpdate answers.
 struct SubscribeToList {};
-/// Shut the idle connections to the endpoint; those with calls out are left as they are.
+/// Close the idle connections to the endpoint; connections with an attempt in flight are not affected.
 struct CloseIdleConnections {
     EndpointId endpoint;
 };
 
 using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, SubscribeToList, CloseIdleConnections>;
 
-/// The books of a destination's retry bucket: tokens = capacity + gained - spent, in [0, capacity].
+/// Accounts of a destination's retry bucket: tokens = capacity + gained - spent, within [0, capacity].
 struct RetryBucketState {
     DestinationId destination = 0;
     double tokens = 0, capacity = 0;
-    double gained = 0;  ///< by successes and time, as far as there was room
-    double spent = 0;   ///< by retries, less what was given back for those that were never sent
+    double gained = 0;  ///< by deliveries and by time; what exceeds the capacity is not counted
+    double spent = 0;   ///< on retries, less refunds for retries that were never sent
 };
 
 /// The decisions of one sender.
 class Sender {
   public:
-    /// Throws std::invalid_argument, naming the field, if the settings make no sense.
+    /// Throws std::invalid_argument, naming the field, if the settings are invalid.
     Sender(const Settings& settings, std::uint64_t seed);
     ~Sender();
     Sender(Sender&&) noexcept;
     Sender& operator=(Sender&&) noexcept;
 
-    /// One turn: what happened, in order, all of it at `now`. Returns what to do, in order. Events about
-    /// messages no longer held, endpoints not listed or classes not known are passed over.
+    /// Processes the events, in order, as of `now`, and returns the actions to carry out, in order. Events
+    /// that name unknown messages, endpoints or message classes are ignored.
     std::vector<Action> turn(Time now, const std::vector<Event>& events);
 
-    /// What a later life ought to know of the destinations that are down, warming up, limited or doubted, as
-    /// of the last turn.
+    /// State that should survive a restart, as of the last turn: of destinations that are down, warming up,
+    /// rate-limited or unconfirmed.
     std::vector<DestinationHealth> destinationHealth() const;
 
-    /// The retry buckets, as of the last turn, for whoever checks them.
+    /// The retry buckets, as of the last turn, for monitoring and tests.
     std::vector<RetryBucketState> retryBuckets() const;
 
   private:
--- a/src/retry_bucket.hpp
+++ b/src/retry_bucket.hpp
@@ -1,4 +1,4 @@
-// The token bucket that pays for the retries to one destination.
+// Token bucket that limits the retries to one destination. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -7,36 +7,39 @@
 
 namespace stoathub {
 
-/// Pays for retries, never for first tries. Successes and time refill it, time only as far as first tries
-/// have earned it; so an idle destination saves nothing up for its return from an outage.
+/// Pays for retries; first attempts are free. Deliveries and time refill the bucket. Time refills it only as
+/// far as first attempts have earned, so that an idle destination saves up nothing for its return from an
+/// outage.
 class RetryBucket {
   public:
-    /// Lets time refill it. Times never go back.
-    void refill(Sec now) {
-        const double gain =
-            std::min({kRefillPerSecond * (now - refilledAt_), allowance_, kBucketCapacity - tokens_});
+    /// Applies the refill over time. `now` must never go back.
+    void refill(Seconds now) {
+        const double gain = std::min(
+            {kRefillTokensPerSecond * (now - refilledAt_), earnedRefill_, kBucketCapacityTokens - tokens_});
         add(gain);
-        allowance_ -= gain;
+        earnedRefill_ -= gain;
         refilledAt_ = now;
     }
-    /// Tokens for a success.
+    /// Adds tokens, up to the capacity.
     void add(double more) {
         const double before = tokens_;
-        tokens_ = std::min(tokens_ + more, kBucketCapacity);
+        tokens_ = std::min(tokens_ + more, kBucketCapacityTokens);
         gained_ += tokens_ - before;
     }
-    /// A first try earns a part of a later refill.
-    void firstTry() { allowance_ = std::min(allowance_ + kEarned, kBucketCapacity); }
-    /// That first try never left.
-    void takeBackFirstTry() { allowance_ = std::max(0.0, allowance_ - kEarned); }
-    /// Gives back what was paid for a retry that was never sent.
-    void giveBack(double cost) {
+    /// A first attempt earns part of a later refill.
+    void recordFirstAttempt() {
+        earnedRefill_ = std::min(earnedRefill_ + kEarnedTokens, kBucketCapacityTokens);
+    }
+    /// Takes back what a first attempt earned, as it was never sent.
+    void revertFirstAttempt() { earnedRefill_ = std::max(0.0, earnedRefill_ - kEarnedTokens); }
+    /// Returns the tokens paid for a retry that was never sent.
+    void refund(double cost) {
         spent_ -= cost;
         gained_ -= cost;
         add(cost);
     }
-    /// False, and nothing is paid, where there are too few tokens.
-    bool pay(double cost, Sec now) {
+    /// Returns false, and takes nothing, if there are too few tokens.
+    bool tryPay(double cost, Seconds now) {
         refill(now);
         if (tokens_ < cost) return false;
         tokens_ -= cost;
@@ -44,16 +47,16 @@
         return true;
     }
 
-    // The books: the tokens are the capacity, plus what was gained, less what was spent.
+    // At any time, tokens = capacity + gained - spent.
     double tokens() const { return tokens_; }
     double gained() const { return gained_; }
     double spent() const { return spent_; }
 
   private:
-    static constexpr double kEarned = kRetryCost / kFirstTriesPerRetry;
-    double tokens_ = kBucketCapacity;
-    double allowance_ = 0;  // what time may still refill: earned by first tries
-    Sec refilledAt_ = 0;
+    static constexpr double kEarnedTokens = kRetryCostTokens / kFirstAttemptsPerRetry;
+    double tokens_ = kBucketCapacityTokens;
+    double earnedRefill_ = 0;  // tokens that time may still refill
+    Seconds refilledAt_ = 0;
     double gained_ = 0, spent_ = 0;
 };
 
--- a/src/sender.cpp
+++ b/src/sender.cpp
@@ -1,4 +1,8 @@
-// Every decision of a sender. The types, events and actions are in include/stoathub/stoathub.hpp.
+// Implementation of stoathub::Sender: retries, outage detection, rate control and the choice of endpoints.
+// The types, events and actions are in include/stoathub/stoathub.hpp.
+//
+// Each turn handles the events, ends messages that can no longer be delivered, sends what may be sent, and
+// requests a timer for the next change that time alone brings. All times are in seconds since the first turn.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -15,935 +19,1071 @@
 namespace stoathub {
 namespace {
 
-Sec seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
-Duration duration(Sec s) { return Duration(static_cast<std::int64_t>(s * 1e9)); }
-
-/// What limits, waits and outages belong to: a destination, or one route where routes are apart.
-struct Owner {
-    double window = 0;
-    int calls = 0;  // out now
-    Sec waitUntil = 0;
-    double latency = 0;  // smoothed
-    double best = 0;     // the best that the smoothed latency was of late
-    double share = 1;    // smoothed share of successes
-    Sec halvedAt = -1;
-    int streak = 0;        // failures and refusals since the last success
-    int fullStreak = 0;    // refusals among them
-    Sec streakAt = 0;      // when it began
-    bool down = false;     // in an outage
-    Sec coldAt = -kNever;  // when the last outage ended, as far as seen
-    bool gone = false;     // in the last outage it did not answer, rather than refuse
-    double told = 0;       // limit in calls a second for all senders; 0: none known
-    double heard = -1;     // the same as heard in answers; -1: never
-    double best1s = 0;     // best delivered rate of this sender
-    double bin = 0;        // deliveries in the second now counted
-    Sec binAt = 0;
-    int silent = 0;            // calls out for too long with no answer since
-    Sec answeredAt = -kNever;  // when a call sent after it last had an answer
-    double rate = kNever;      // calls a second at most, learnt from refusals and the told limit
-    double sent = 0;           // smoothed rate of calls sent
-    Sec sentAt = 0, cutAt = -kNever;
-    Sec learntAt = 0;  // when anything was last seen of it
-    double parts = 1;  // equal parts of the limit that this sender may send, at partsAt
-    Sec partsAt = 0;
-    double credit = 1;  // calls that the pace allows now
-    Sec creditAt = 0;
-    bool doubted = false;
-    Sec provenAt = kNever;  // when one in doubt first delivered
-    double belief = 1;      // calls that one in doubt may be sent now
-    Sec beliefAt = 0;
-
-    void delivered(Sec t) {
-        if (t >= binAt + 1) {
-            best1s = std::max(bin / (t - binAt), best1s * (1 - kRateFade * std::min(t - binAt, 10.0)));
-            bin = 0;
-            binAt = t;
+Seconds toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+Duration toDuration(Seconds seconds) { return Duration(static_cast<std::int64_t>(seconds * 1e9)); }
+
+/// State of a route: of a destination, or of a single endpoint where endpoints have separate routes. Rate
+/// limits, announced waits and outages belong to a route.
+struct RouteState {
+    double window = 0;        // concurrency limit
+    int attemptsOut = 0;      // in flight
+    Seconds waitUntil = 0;    // end of the announced wait
+    double latency = 0;       // smoothed; 0: unknown
+    double bestLatency = 0;   // best recent value of the smoothed latency
+    double successShare = 1;  // smoothed share of successes
+    Seconds windowHalvedAt = -1;
+    int failureStreak = 0;    // failures and rejections since the last success
+    int rejectionStreak = 0;  // rejections among them
+    Seconds streakStartedAt = 0;
+    bool down = false;              // in an outage
+    Seconds recoveredAt = -kNever;  // end of the last outage
+    bool wasUnresponsive = false;   // in the last outage it failed or did not answer, rather than reject
+    double rateLimit = 0;           // attempts per second, for all senders together; 0: unknown
+    double reportedRateLimit = -1;  // as last reported in an answer, 0 for no limit; -1: never reported
+    double bestDeliveryRate = 0;    // of this sender, per second
+    double deliveriesInBin = 0;     // deliveries in the current interval of a second
+    Seconds binStartedAt = 0;
+    int unansweredAttempts = 0;            // overdue attempts, with no answer to any later attempt
+    Seconds lastAnsweredSendAt = -kNever;  // when the latest answered attempt was sent
+    double rateCap = kNever;  // attempts per second, learnt from rejections and the rate limit; kNever: none
+    double sendRate = 0;      // smoothed, attempts per second, at sendRateAt
+    Seconds sendRateAt = 0, rateCutAt = -kNever;
+    Seconds lastObservedAt = 0;  // last outcome or health report
+    double fairShares = 1;       // multiple of the fair share that this sender may use, at fairSharesAt
+    Seconds fairSharesAt = 0;
+    double paceTokens = 1;  // attempts that the rate allows, at paceTokensAt
+    Seconds paceTokensAt = 0;
+    bool unconfirmed = false;          // see DestinationHealth::unconfirmed
+    Seconds firstDeliveryAt = kNever;  // since it became unconfirmed
+    double unconfirmedTokens = 1;      // attempts allowed while unconfirmed, at unconfirmedTokensAt
+    Seconds unconfirmedTokensAt = 0;
+
+    void recordDelivery(Seconds now) {
+        if (now >= binStartedAt + 1) {
+            bestDeliveryRate = std::max(
+                deliveriesInBin / (now - binStartedAt),
+                bestDeliveryRate * (1 - kBestRateDecayPerSecond * std::min(now - binStartedAt, 10.0)));
+            deliveriesInBin = 0;
+            binStartedAt = now;
         }
-        ++bin;
+        ++deliveriesInBin;
+    }
+    bool isDegraded() const {
+        return successShare < kDegradedSuccessShare || latency > kShrinkLatencyRatio * bestLatency;
     }
-    bool troubled() const { return share < kFailing || latency > kLongRun * best; }
 };
 
-struct Target {  // an endpoint
+struct EndpointEntry {
     EndpointId id;
-    DestinationId destination = 0;
+    DestinationId destinationId = 0;
     int kind = 0;
     int zone = 0;
-    double order = 0;  // among endpoints as busy: drawn by chance, then by whose queue was found full
-    bool apart = false;
+    double tieBreaker = 0;  // lowest first among equally busy endpoints: random, plus 1 per full queue
+    bool separateRoute = false;
     bool usable = false;
-    std::uint64_t listed = 0;  // the last whole list that named it
-    int calls = 0;
-    int streak = 0;            // failures since its last success
-    bool silent = false;       // a call to it is out for too long
-    Sec keptUntil = 0;         // until then a connection stands idle when no call is out
-    Sec answeredAt = -kNever;  // when a call sent after it last had an answer
-    Sec avoidUntil = 0;        // after failures, while others of the destination are well
-    Owner own;                 // used where routes are apart
+    std::uint64_t listGeneration = 0;  // of the last full list that named it
+    int attemptsOut = 0;
+    int failureStreak = 0;            // failures since its last success
+    bool unresponsive = false;        // has an overdue attempt, and no answer to any later one
+    Seconds idleConnectionUntil = 0;  // while no attempt is in flight, an idle connection exists until then
+    Seconds lastAnsweredSendAt = -kNever;  // when the latest answered attempt was sent
+    Seconds avoidUntil = 0;  // set after failures; ignored if all endpoints of the destination fail
+    RouteState route;        // used with separate routes
 };
 
-struct Place {  // a destination
-    Owner own;
+struct DestinationEntry {
+    RouteState route;  // shared by its endpoints unless they have separate routes
     RetryBucket bucket;
-    int calls = 0;
-    int held = 0;  // messages
-    std::vector<Target*> targets;
+    int attemptsOut = 0;
+    int heldMessages = 0;
+    std::vector<EndpointEntry*> endpoints;
 };
 
-struct Call {
-    bool kept = false;  // on a connection that was idle before
-    Target* target = nullptr;
-    Sec sentAt = 0;
+struct ActiveAttempt {
+    bool reusedConnection = false;
+    EndpointEntry* endpoint = nullptr;
+    Seconds sentAt = 0;
 };
 
 struct Message {
     MessageId id;
-    Place* place = nullptr;  // its destination
-    int grade = 0;
-    Effect effect = Effect::pure;  // its class's, or a stricter one
-    std::optional<OrderKey> key;
-    Sec taken = 0, aimAt = 0, deadline = 0;
-    Sec notBefore = 0;  // end of the backoff
-    Sec sentAt = 0;     // when its last attempt went out
-    double price = 0;   // tokens due before the next try
-    double paid = 0;    // tokens taken for a try that has not gone out
-    int attempts = 0;   // sent so far
-    int unsent = 0;     // calls on end that never left
+    DestinationEntry* destination = nullptr;
+    int classIndex = 0;
+    Effect effect = Effect::pure;  // of its class, or stricter
+    std::optional<OrderKey> orderKey;
+    Seconds acceptedAt = 0, deliveryTargetAt = 0, deadline = 0;
+    Seconds notBefore = 0;     // end of the backoff
+    Seconds sentAt = 0;        // last attempt
+    double pendingTokens = 0;  // to be paid before the next attempt
+    double paidTokens = 0;     // paid for an attempt that has not been sent yet
+    int attempts = 0;          // sent so far
+    int consecutiveUnsent = 0;
     bool mayHaveRun = false;
-    Sec keyedFrom = 0;  // first send that may have run
-    int keyedZone = 0;
-    bool found = false;  // untried when an earlier life ended, and since
-    bool ended = false;  // answered; kept until its attempt has its outcome
-    bool calledOff = false;
-    std::uint64_t call = 0;  // the call that it is out in, or 0
-    bool out() const { return call != 0; }
+    Seconds keyWindowStart = 0;        // when the first attempt that may have run was sent
+    int keyZone = 0;                   // zone of that attempt; -1: unknown
+    bool untriedSinceRestart = false;  // accepted by a previous run, and not attempted since
+    bool ended = false;                // has its final answer; kept while an attempt is in flight
+    bool cancelRequested = false;
+    std::uint64_t attemptId = 0;  // of the attempt in flight; 0: none
+    bool hasActiveAttempt() const { return attemptId != 0; }
 };
 
 }  // namespace
 
 class Sender::Impl {
   public:
-    Impl(const Settings& settings, std::uint64_t seed) : set_(settings), chance_(seed) {
-        check(settings);
-        double life = 0;
-        for (const auto& g : set_.messageClasses)
-            life += seconds(g.timeToLive) / static_cast<double>(set_.messageClasses.size());
-        lone_ = kLone / life;
-        if (set_.overloadMultiple > 0)
-            coldRoom_ = std::clamp(set_.overloadMultiple - kRamp - kFallSlack, 0.0, kColdRoom);
+    Impl(const Settings& settings, std::uint64_t seed) : settings_(settings), rng_(seed) {
+        validate(settings);
+        double meanTimeToLive = 0;
+        for (const auto& messageClass : settings_.messageClasses)
+            meanTimeToLive +=
+                toSeconds(messageClass.timeToLive) / static_cast<double>(settings_.messageClasses.size());
+        rareMessageRate_ = kRareMessagesPerLifetime / meanTimeToLive;
+        if (settings_.overloadMultiple > 0)
+            recoveryDeliveryTokens_ =
+                std::clamp(settings_.overloadMultiple - kRecoveryRateFactor - kOverloadMargin, 0.0,
+                           kMaxRecoveryDeliveryTokens);
     }
 
     std::vector<Action> turn(Time now, const std::vector<Event>& events) {
-        if (!started_) start_ = now, started_ = true;
-        t_ = seconds(now - start_);
+        if (!started_) startTime_ = now, started_ = true;
+        now_ = toSeconds(now - startTime_);
         actions_.clear();
-        lookAt_ = kNever;
-        for (const auto& event : events) std::visit([this](const auto& e) { on(e); }, event);
-        follow();
-        sweep();
-        listen();
-        pump();
-        relieve();
-        part();
-        wake();
+        nextCheckAt_ = kNever;
+        for (const auto& event : events)
+            std::visit([this](const auto& occurred) { handle(occurred); }, event);
+        subscribeIfDue();
+        endExpired();
+        detectSilence();
+        sendReady();
+        cancelStuckAttempt();
+        updateIdleConnections();
+        requestTimer();
         return std::move(actions_);
     }
 
     std::vector<DestinationHealth> destinationHealth() const {
         std::vector<DestinationHealth> all;
-        for (const auto& [id, dest] : places_) {
-            const Owner& own = dest.own;
-            const bool warming = t_ < own.coldAt + seconds(set_.warmUp);
-            if (!own.down && !warming && own.heard <= 0 && !own.doubted) continue;
-            all.push_back({id, own.down, {}, own.told, own.doubted, false});
-            if (warming) all.back().sinceRecovery = duration(t_ - own.coldAt);
+        for (const auto& [id, destination] : destinations_) {
+            const RouteState& route = destination.route;
+            const bool warming = now_ < route.recoveredAt + toSeconds(settings_.warmUp);
+            if (!route.down && !warming && route.reportedRateLimit <= 0 && !route.unconfirmed) continue;
+            all.push_back({id, route.down, {}, route.rateLimit, route.unconfirmed, false});
+            if (warming) all.back().sinceRecovery = toDuration(now_ - route.recoveredAt);
         }
         return all;
     }
 
     std::vector<RetryBucketState> retryBuckets() const {
         std::vector<RetryBucketState> all;
-        for (const auto& [id, dest] : places_)
-            all.push_back(
-                {id, dest.bucket.tokens(), kBucketCapacity, dest.bucket.gained(), dest.bucket.spent()});
+        for (const auto& [id, destination] : destinations_)
+            all.push_back({id, destination.bucket.tokens(), kBucketCapacityTokens,
+                           destination.bucket.gained(), destination.bucket.spent()});
         return all;
     }
 
   private:
     // ---- events ----
-    void on(const MessageAccepted& h) {
-        if (h.messageClass < 0 || h.messageClass >= static_cast<int>(set_.messageClasses.size()) ||
-            byId_.count(h.id))
+    void handle(const MessageAccepted& accepted) {
+        if (accepted.messageClass < 0 ||
+            accepted.messageClass >= static_cast<int>(settings_.messageClasses.size()) ||
+            sequenceById_.count(accepted.id))
             return;
-        const MessageClass& g = set_.messageClasses[h.messageClass];
-        Message m;
-        m.id = h.id;
-        m.grade = h.messageClass;
-        m.effect = std::max(g.effect, h.minimumEffect);
-        if (g.inOrder) m.key = h.orderKey;
-        m.taken = m.notBefore = t_;
-        m.deadline = t_ + seconds(h.timeLeft);
-        m.aimAt = m.deadline - seconds(g.timeToLive - g.deliveryTarget);
-        const std::uint64_t seq = ++lastSeq_;
-        if (m.key) turns_[*m.key].line.push_back(seq);
-        byId_[m.id] = seq;
-        m.place = &place(h.destination);
-        ++m.place->held;
-        if (h.priorAttempts) resume(m, *h.priorAttempts);
-        messages_.emplace(seq, std::move(m));
-    }
-
-    // Danger: what an earlier life held comes back all at once, and what that life had learnt of outages is
-    // gone: a partner that is down or cold would get the whole backlog. What was sent before counts as a
-    // retry, so backoff spreads it and the bucket pays; what never left is tried for the first time, or a
-    // bucket would give most of it up untried; failures count as if seen now; and the pace holds from the
-    // first call. The zone of an earlier attempt is no longer known.
-    void resume(Message& m, const PriorAttempts& past) {
-        m.attempts = past.attempts;
-        m.found = past.attempts == 0;
-        m.mayHaveRun = past.mayHaveRun;
-        m.keyedFrom = t_ - seconds(past.sinceMayHaveRun);
-        m.keyedZone = -1;
-        if (past.attempts + past.failures > 0) {
-            m.notBefore = t_ + kBackoffBase * (kBackoffFloor + (1 - kBackoffFloor) * random());
-            m.price = past.attempts > 0 ? kRetryCost : 0;
+        const MessageClass& messageClass = settings_.messageClasses[accepted.messageClass];
+        Message message;
+        message.id = accepted.id;
+        message.classIndex = accepted.messageClass;
+        message.effect = std::max(messageClass.effect, accepted.minimumEffect);
+        if (messageClass.inOrder) message.orderKey = accepted.orderKey;
+        message.acceptedAt = message.notBefore = now_;
+        message.deadline = now_ + toSeconds(accepted.timeLeft);
+        message.deliveryTargetAt =
+            message.deadline - toSeconds(messageClass.timeToLive - messageClass.deliveryTarget);
+        const std::uint64_t sequence = ++lastSequence_;
+        if (message.orderKey) orderQueues_[*message.orderKey].sequences.push_back(sequence);
+        sequenceById_[message.id] = sequence;
+        message.destination = &destinationEntry(accepted.destination);
+        ++message.destination->heldMessages;
+        if (accepted.priorAttempts) restoreAttempts(message, *accepted.priorAttempts);
+        messages_.emplace(sequence, std::move(message));
+    }
+
+    // Restores what a previous run did with the message. All its messages come back at once, and the
+    // knowledge of outages may be lost, so a destination that is down or warming up could receive the whole
+    // backlog. Therefore the next attempt of a message that was attempted before is a retry: backoff spreads
+    // these out, and the retry bucket pays for them. A message that was never sent gets a first attempt, as
+    // the bucket would otherwise end most of them untried. Failures count as if they had just happened, and
+    // the rate limit applies from the first attempt. The zone of an earlier attempt is no longer known.
+    void restoreAttempts(Message& message, const PriorAttempts& prior) {
+        message.attempts = prior.attempts;
+        message.untriedSinceRestart = prior.attempts == 0;
+        message.mayHaveRun = prior.mayHaveRun;
+        message.keyWindowStart = now_ - toSeconds(prior.sinceMayHaveRun);
+        message.keyZone = -1;
+        if (prior.attempts + prior.failures > 0) {
+            message.notBefore =
+                now_ + kBackoffBaseSeconds * (kBackoffMinFraction + (1 - kBackoffMinFraction) * random());
+            message.pendingTokens = prior.attempts > 0 ? kRetryCostTokens : 0;
         }
-        Owner& own = m.place->own;
-        if (own.streak == 0) own.streakAt = t_;
-        own.streak += past.failures;
-        if (own.streak - own.fullStreak >= kStreak) own.down = true;
-        if (own.rate == kNever && own.told > 0 && !sparse(own)) own.rate = own.told / set_.senders;
+        RouteState& route = message.destination->route;
+        if (route.failureStreak == 0) route.streakStartedAt = now_;
+        route.failureStreak += prior.failures;
+        if (route.failureStreak - route.rejectionStreak >= kOutageFailures) route.down = true;
+        if (route.rateCap == kNever && route.rateLimit > 0 && !isSparse(route))
+            route.rateCap = route.rateLimit / settings_.senders;
     }
 
-    void on(const MessageWithdrawn& gone) {
-        const auto it = byId_.find(gone.id);
-        if (it == byId_.end()) return;
+    void handle(const MessageWithdrawn& withdrawn) {
+        const auto it = sequenceById_.find(withdrawn.id);
+        if (it == sequenceById_.end()) return;
         messages_.at(it->second).ended = true;
-        settle(it->second);
-    }
-
-    void on(const TimerFired&) {}
-
-    // Danger: after a restart a partner may be down or cold and nothing in hand tells; the first burst would
-    // push it over. It may hurt a partner that is well, for the few calls until its deliveries have opened
-    // the pace.
-    void on(const DestinationHealth& s) {
-        Owner& own = place(s.destination).own;
-        if (own.told <= 0) own.told = s.rateLimit;
-        own.down = own.down || s.down;
-        own.learntAt = t_;
-        if (s.sinceRecovery) own.coldAt = std::max(own.coldAt, t_ - seconds(*s.sinceRecovery));
-        if (s.unconfirmed && !own.doubted) {
-            // Senders that restart together must not make their first calls together.
-            own.provenAt = kNever, own.beliefAt = t_;
-            own.belief = s.probed ? 1 : set_.senders > 1 ? random() : 1;
+        removeIfFinished(it->second);
+    }
+
+    void handle(const TimerFired&) {}
+
+    // After a restart a destination may be down or warming up without any evidence of it, and the first burst
+    // would overload it. An unconfirmed destination is therefore limited until its deliveries have raised the
+    // limit. The cost is a delay of its first messages if it is in fact healthy.
+    void handle(const DestinationHealth& health) {
+        RouteState& route = destinationEntry(health.destination).route;
+        if (route.rateLimit <= 0) route.rateLimit = health.rateLimit;
+        route.down = route.down || health.down;
+        route.lastObservedAt = now_;
+        if (health.sinceRecovery)
+            route.recoveredAt = std::max(route.recoveredAt, now_ - toSeconds(*health.sinceRecovery));
+        if (health.unconfirmed && !route.unconfirmed) {
+            // Random, so that senders that restart together do not make their first attempts together.
+            route.firstDeliveryAt = kNever, route.unconfirmedTokensAt = now_;
+            route.unconfirmedTokens = health.probed ? 1 : settings_.senders > 1 ? random() : 1;
         }
-        if (s.probed) own.belief -= 1;
-        // Who has been capped stays so until it has had the time to warm up: no jump in pace.
-        own.doubted = s.unconfirmed || (own.doubted && (own.calls > 0 || own.provenAt != kNever));
+        if (health.probed) route.unconfirmedTokens -= 1;
+        // Once attempts have been limited, the limit stays until the destination has had time to warm up, as
+        // the rate must not jump.
+        route.unconfirmed = health.unconfirmed ||
+                            (route.unconfirmed && (route.attemptsOut > 0 || route.firstDeliveryAt != kNever));
     }
 
-    void on(const EndpointListUpdate& news) {
-        if (news.kind == ListUpdateKind::failed) {
-            followPause_ = std::min(std::max(kRefollow, 2 * followPause_), kRefollowMost);
-            followAt_ = t_ + followPause_ * (0.5 + random());
+    void handle(const EndpointListUpdate& update) {
+        if (update.kind == ListUpdateKind::failed) {
+            subscribePause_ =
+                std::min(std::max(kResubscribeSeconds, 2 * subscribePause_), kMaxResubscribeSeconds);
+            subscribeAt_ = now_ + subscribePause_ * (0.5 + random());
             return;
         }
-        if (news.kind != ListUpdateKind::saved) followPause_ = 0;
-        if (news.kind != ListUpdateKind::delta) ++lists_, later_.clear();
-        for (const auto& e : news.entries) list(e);
-        if (news.kind != ListUpdateKind::delta)
-            for (auto& [id, target] : targets_) target.usable = target.usable && target.listed == lists_;
-        forget();
-    }
-
-    // Closed endpoints with no call out, and destinations left without an endpoint, a message, or a wait or
-    // outage to remember: fleets change all the time, and what is gone for good must not be carried along.
-    // Danger: an outage that began long ago, or a wait, is as true of the endpoints that come after these.
-    void forget() {
-        unhush();  // it points to owners
-        for (auto it = targets_.begin(); it != targets_.end();) {
-            Target& target = it->second;
-            if (target.usable || target.calls > 0) {
+        if (update.kind != ListUpdateKind::saved) subscribePause_ = 0;
+        if (update.kind != ListUpdateKind::delta) ++listGeneration_, pendingReplacements_.clear();
+        for (const auto& entry : update.entries) applyListEntry(entry);
+        if (update.kind != ListUpdateKind::delta)
+            for (auto& [id, endpoint] : endpoints_)
+                endpoint.usable = endpoint.usable && endpoint.listGeneration == listGeneration_;
+        forgetUnused();
+    }
+
+    // Removes unusable endpoints without an attempt in flight, and destinations without endpoints and
+    // messages, as fleets change all the time. A destination is kept while it has an outage or an announced
+    // wait to remember: either applies to endpoints that are listed later as well.
+    void forgetUnused() {
+        clearUnanswered();  // it points to routes that may be erased
+        for (auto it = endpoints_.begin(); it != endpoints_.end();) {
+            EndpointEntry& endpoint = it->second;
+            if (endpoint.usable || endpoint.attemptsOut > 0) {
                 ++it;
                 continue;
             }
-            std::erase(place(target.destination).targets, &target);
-            it = targets_.erase(it);
+            std::erase(destinationEntry(endpoint.destinationId).endpoints, &endpoint);
+            it = endpoints_.erase(it);
         }
-        std::erase_if(places_, [this](const auto& entry) {
-            const Place& dest = entry.second;
-            const Sec quiet = std::max(dest.own.learntAt, dest.own.coldAt) + seconds(set_.warmUp) + kForget;
-            return dest.targets.empty() && dest.held == 0 && t_ > std::max(quiet, dest.own.waitUntil);
+        std::erase_if(destinations_, [this](const auto& entry) {
+            const DestinationEntry& destination = entry.second;
+            const Seconds forgetAfter =
+                std::max(destination.route.lastObservedAt, destination.route.recoveredAt) +
+                toSeconds(settings_.warmUp) + kForgetAfterSeconds;
+            return destination.endpoints.empty() && destination.heldMessages == 0 &&
+                   now_ > std::max(forgetAfter, destination.route.waitUntil);
         });
     }
 
-    void list(const Endpoint& e) {
-        auto& target = targets_[e.id];
-        later_.erase(e.id);
-        // Danger: an id that stands for another destination now would get the old one's messages for good.
-        // It is another endpoint, which begins once the calls to the one before have ended.
-        if (!target.id.empty() && target.destination != e.destination) {
-            target.usable = false;
-            if (target.calls > 0) return void(later_[e.id] = e);
-            std::erase(place(target.destination).targets, &target);
-            unhush();
-            target = {};
+    void applyListEntry(const Endpoint& entry) {
+        auto& endpoint = endpoints_[entry.id];
+        pendingReplacements_.erase(entry.id);
+        // If the id now names an endpoint of another destination, it must not receive messages of the old
+        // one. It counts as a new endpoint, which is added once the attempts at the old one have ended.
+        if (!endpoint.id.empty() && endpoint.destinationId != entry.destination) {
+            endpoint.usable = false;
+            if (endpoint.attemptsOut > 0) return void(pendingReplacements_[entry.id] = entry);
+            std::erase(destinationEntry(endpoint.destinationId).endpoints, &endpoint);
+            clearUnanswered();
+            endpoint = {};
         }
-        if (target.id.empty()) {
-            target.id = e.id;
-            target.destination = e.destination;
-            target.zone = e.zone;
-            target.order = random();
-            target.kind = e.kind;
-            if (e.kind >= 0 && e.kind < static_cast<int>(set_.kinds.size()))
-                target.apart = set_.kinds[e.kind].separateRoutes;
-            target.own.window = windowMost();
-            place(e.destination).targets.push_back(&target);
+        if (endpoint.id.empty()) {
+            endpoint.id = entry.id;
+            endpoint.destinationId = entry.destination;
+            endpoint.zone = entry.zone;
+            endpoint.tieBreaker = random();
+            endpoint.kind = entry.kind;
+            if (entry.kind >= 0 && entry.kind < static_cast<int>(settings_.kinds.size()))
+                endpoint.separateRoute = settings_.kinds[entry.kind].separateRoutes;
+            endpoint.route.window = maxWindow();
+            destinationEntry(entry.destination).endpoints.push_back(&endpoint);
         }
-        if (set_.weights != Weights::none && e.weight > 0) owner(target).told = e.weight;
-        target.usable = e.state == EndpointState::inService;
-        target.listed = lists_;
-    }
-
-    // The one way for every outcome, and so for every refusal and failure.
-    void on(const Outcome& o) {
-        const auto it = byId_.find(o.id);
-        if (it == byId_.end()) return;
-        const std::uint64_t seq = it->second;
-        Message& m = messages_.at(seq);
-        if (!m.out() || o.attempt != m.attempts - 1) return;
-        Target& target = *calls_.at(m.call).target;
-        const bool ran = o.result == Result::error || o.result == Result::timeout ||
-                         o.result == Result::reset || o.result == Result::cancelled ||
-                         o.result == Result::delivered;
-        const bool kept = calls_.at(m.call).kept;
+        if (settings_.weights != Weights::none && entry.weight > 0)
+            routeOf(endpoint).rateLimit = entry.weight;
+        endpoint.usable = entry.state == EndpointState::inService;
+        endpoint.listGeneration = listGeneration_;
+    }
+
+    // All outcomes are handled here.
+    void handle(const Outcome& outcome) {
+        const auto it = sequenceById_.find(outcome.id);
+        if (it == sequenceById_.end()) return;
+        const std::uint64_t sequence = it->second;
+        Message& message = messages_.at(sequence);
+        if (!message.hasActiveAttempt() || outcome.attempt != message.attempts - 1) return;
+        EndpointEntry& endpoint = *activeAttempts_.at(message.attemptId).endpoint;
+        const bool ran = outcome.result == Result::error || outcome.result == Result::timeout ||
+                         outcome.result == Result::reset || outcome.result == Result::cancelled ||
+                         outcome.result == Result::delivered;
+        const bool reusedConnection = activeAttempts_.at(message.attemptId).reusedConnection;
         if (ran) {
-            double& failed = failed_[kept];
-            const bool answered = o.result == Result::delivered || o.result == Result::error;
-            failed += kSmooth * ((answered ? 0 : 1) - failed);
+            double& failed = unansweredShare_[reusedConnection];
+            const bool answered = outcome.result == Result::delivered || outcome.result == Result::error;
+            failed += kSmoothingWeight * ((answered ? 0 : 1) - failed);
         }
-        hangUp(m);
-        if (o.result == Result::unsent) return takeBack(seq, m, target);
-        m.unsent = 0;
-        if (o.result != Result::notForwarded) m.paid = 0;
-        if (ran || o.result == Result::rejected) m.found = false;
-        observe(target, o, kept);
-        if (ran && !m.mayHaveRun) {
-            m.mayHaveRun = true;
-            m.keyedFrom = m.sentAt;
-            m.keyedZone = target.zone;
+        finishAttempt(message);
+        if (outcome.result == Result::unsent) return revertUnsent(sequence, message, endpoint);
+        message.consecutiveUnsent = 0;
+        if (outcome.result != Result::notForwarded) message.paidTokens = 0;
+        if (ran || outcome.result == Result::rejected) message.untriedSinceRestart = false;
+        observeOutcome(endpoint, outcome, reusedConnection);
+        if (ran && !message.mayHaveRun) {
+            message.mayHaveRun = true;
+            message.keyWindowStart = message.sentAt;
+            message.keyZone = endpoint.zone;
         }
-        if (m.key &&
-            (o.result == Result::timeout || o.result == Result::reset || o.result == Result::cancelled))
-            turns_[*m.key].restUntil = t_ + seconds(set_.orderingPause) + kGuard;
-        if (o.concluded || m.ended) {
-            m.ended = true;
-            return settle(seq);
+        if (message.orderKey && (outcome.result == Result::timeout || outcome.result == Result::reset ||
+                                 outcome.result == Result::cancelled))
+            orderQueues_[*message.orderKey].pausedUntil =
+                now_ + toSeconds(settings_.orderingPause) + kRoundingMarginSeconds;
+        if (outcome.concluded || message.ended) {
+            message.ended = true;
+            return removeIfFinished(sequence);
         }
-        retry(seq, m, o.result);
-    }
-
-    // A call that never left says nothing of the destination, and was no attempt: all that it took is given
-    // back. Danger: what this machine lacks it may lack for a while, so the next try waits a little.
-    void takeBack(std::uint64_t seq, Message& m, Target& target) {
-        Owner& own = owner(target);
-        own.credit += 1;
-        if (own.doubted) own.belief += 1;
-        if (--m.attempts == 0) m.place->bucket.takeBackFirstTry();
-        if (m.ended) return settle(seq);
-        const double doubled = std::pow(2.0, std::min(m.unsent++, kUnsentDoubles));
-        m.notBefore = t_ + kUnsentPause * doubled * (kBackoffFloor + (1 - kBackoffFloor) * random());
-    }
-
-    void hangUp(Message& m) {
-        const auto call = calls_.find(m.call);
-        m.call = 0;
-        m.calledOff = false;
-        Target& target = *call->second.target;
+        scheduleRetry(sequence, message, outcome.result);
+    }
+
+    // Takes back an attempt that was not sent: it says nothing about the destination and does not count as an
+    // attempt, so everything charged for it is returned. The local cause may persist, so the next attempt
+    // waits a little.
+    void revertUnsent(std::uint64_t sequence, Message& message, EndpointEntry& endpoint) {
+        RouteState& route = routeOf(endpoint);
+        route.paceTokens += 1;
+        if (route.unconfirmed) route.unconfirmedTokens += 1;
+        if (--message.attempts == 0) message.destination->bucket.revertFirstAttempt();
+        if (message.ended) return removeIfFinished(sequence);
+        const double doubled = std::pow(2.0, std::min(message.consecutiveUnsent++, kMaxUnsentDoublings));
+        message.notBefore = now_ + kUnsentPauseSeconds * doubled *
+                                       (kBackoffMinFraction + (1 - kBackoffMinFraction) * random());
+    }
+
+    void finishAttempt(Message& message) {
+        const auto attempt = activeAttempts_.find(message.attemptId);
+        message.attemptId = 0;
+        message.cancelRequested = false;
+        EndpointEntry& endpoint = *attempt->second.endpoint;
         --slotsUsed_;
-        --target.calls;
-        --owner(target).calls;
-        --place(target.destination).calls;
-        target.silent = false;
-        if (target.calls == 0) idle_.push_back(target.id);
-        calls_.erase(call);
-    }
-
-    void observe(Target& target, const Outcome& o, bool kept) {
-        Owner& own = owner(target);
-        if (o.result == Result::notForwarded || o.stale) return;
-        own.learntAt = t_;
-        if (o.allowedRate && *o.allowedRate > 0) own.told = *o.allowedRate;
-        if (o.allowedRate) own.heard = *o.allowedRate, reports_ = true;
-        const bool good = o.result == Result::delivered;
-        // What never connected weighs nothing.
-        if (own.doubted && (good || o.result == Result::connectFailed))
-            own.belief = std::min(kDoubtMost, own.belief + (good ? kDoubtGain : 1));
-        if (own.doubted && good) own.provenAt = std::min(own.provenAt, t_);
-        if (t_ > own.provenAt + seconds(set_.warmUp)) own.doubted = false;
-        // Turned away on a new connection, without the report that answers have here: it holds too many.
-        Sec& scarce = scarceUntil_[target.kind];
-        if (o.result == Result::rejected && !kept && reports_ && !o.allowedRate && o.retryAfter <= Duration{})
-            scarce = std::max(scarce, t_ + kScarceTold);
-        if (o.result == Result::connectFailed && 2 * o.took < set_.connectTimeout) {
-            const bool outage = own.streak > 0 && t_ > own.streakAt + kFewSpan;
-            scarce = outage ? 0 : t_ + kScarce;
+        --endpoint.attemptsOut;
+        --routeOf(endpoint).attemptsOut;
+        --destinationEntry(endpoint.destinationId).attemptsOut;
+        endpoint.unresponsive = false;
+        if (endpoint.attemptsOut == 0) newlyIdle_.push_back(endpoint.id);
+        activeAttempts_.erase(attempt);
+    }
+
+    void observeOutcome(EndpointEntry& endpoint, const Outcome& outcome, bool reusedConnection) {
+        RouteState& route = routeOf(endpoint);
+        if (outcome.result == Result::notForwarded || outcome.stale) return;
+        route.lastObservedAt = now_;
+        if (outcome.allowedRate && *outcome.allowedRate > 0) route.rateLimit = *outcome.allowedRate;
+        if (outcome.allowedRate) route.reportedRateLimit = *outcome.allowedRate, limitsReported_ = true;
+        const bool succeeded = outcome.result == Result::delivered;
+        // A failed connect puts no load on the destination.
+        if (route.unconfirmed && (succeeded || outcome.result == Result::connectFailed))
+            route.unconfirmedTokens =
+                std::min(kMaxUnconfirmedTokens,
+                         route.unconfirmedTokens + (succeeded ? kUnconfirmedTokensPerDelivery : 1));
+        if (route.unconfirmed && succeeded) route.firstDeliveryAt = std::min(route.firstDeliveryAt, now_);
+        if (now_ > route.firstDeliveryAt + toSeconds(settings_.warmUp)) route.unconfirmed = false;
+        // A rejection on a new connection, without the rate limit report that answers carry otherwise, means
+        // that the destination has too many connections.
+        Seconds& scarceUntil = connectionsScarceUntil_[endpoint.kind];
+        if (outcome.result == Result::rejected && !reusedConnection && limitsReported_ &&
+            !outcome.allowedRate && outcome.retryAfter <= Duration{})
+            scarceUntil = std::max(scarceUntil, now_ + kConnectionsRejectedSeconds);
+        if (outcome.result == Result::connectFailed && 2 * outcome.took < settings_.connectTimeout) {
+            const bool outage =
+                route.failureStreak > 0 && now_ > route.streakStartedAt + kSparseOutageSeconds;
+            scarceUntil = outage ? 0 : now_ + kConnectionsScarceSeconds;
         }
-        if (!good && o.result != Result::rejected) ++target.streak;
-        // Refused with room left: its queue is full, or it holds too many connections. That says nothing of
-        // its fellows, which go first from then on.
-        if (o.result == Result::rejected && tellsRoom(o) && *o.allowanceLeft > kAmple) target.order += 1;
-        health(own, target, o);
-        if (inParts(own)) share(own, o);
-        else adapt(own, o.result);
-        shun(target, o.result);
-        if (o.result == Result::rejected) {
-            if (o.retryAfter > Duration{})
-                own.waitUntil = std::max(own.waitUntil, t_ + seconds(o.retryAfter) + kGuard);
+        if (!succeeded && outcome.result != Result::rejected) ++endpoint.failureStreak;
+        // A rejection with much of the rate limit unused means that the queue of this endpoint is full, or
+        // that it has too many connections. That says nothing about the other endpoints, which are preferred
+        // from now on.
+        if (outcome.result == Result::rejected && reportsLimit(outcome) &&
+            *outcome.allowanceLeft > kAmpleAllowance)
+            endpoint.tieBreaker += 1;
+        updateHealth(route, endpoint, outcome);
+        if (usesFairShares(route)) updateFairShare(route, outcome);
+        else adaptRate(route, outcome.result);
+        backOffEndpoint(endpoint, outcome.result);
+        if (outcome.result == Result::rejected) {
+            if (outcome.retryAfter > Duration{})
+                route.waitUntil =
+                    std::max(route.waitUntil, now_ + toSeconds(outcome.retryAfter) + kRoundingMarginSeconds);
             return;
         }
-        own.share += kSmooth * ((good ? 1 : 0) - own.share);
-        if (good) {
-            own.answeredAt = std::max(own.answeredAt, t_ - seconds(o.took));
-            target.answeredAt = std::max(target.answeredAt, t_ - seconds(o.took));
-            place(target.destination).bucket.add(kRefund);
-            own.delivered(t_);
-            const double took = seconds(o.took);
-            own.latency += own.latency == 0 ? took : kSmooth * (took - own.latency);
-            if (own.best == 0) own.best = own.latency;
-            own.best += (own.latency < own.best ? kSmooth : kBestDrift) * (own.latency - own.best);
+        route.successShare += kSmoothingWeight * ((succeeded ? 1 : 0) - route.successShare);
+        if (succeeded) {
+            route.lastAnsweredSendAt = std::max(route.lastAnsweredSendAt, now_ - toSeconds(outcome.took));
+            endpoint.lastAnsweredSendAt =
+                std::max(endpoint.lastAnsweredSendAt, now_ - toSeconds(outcome.took));
+            destinationEntry(endpoint.destinationId).bucket.add(kSuccessRefundTokens);
+            route.recordDelivery(now_);
+            const double took = toSeconds(outcome.took);
+            route.latency += route.latency == 0 ? took : kSmoothingWeight * (took - route.latency);
+            if (route.bestLatency == 0) route.bestLatency = route.latency;
+            route.bestLatency +=
+                (route.latency < route.bestLatency ? kSmoothingWeight : kBestLatencyDriftWeight) *
+                (route.latency - route.bestLatency);
         }
-        // The window: halves as calls run long, regrows near the best recent latency.
-        if (own.latency > kLongRun * own.best && t_ > own.halvedAt + own.latency) {
-            own.window = std::max(1.0, own.window / 2);
-            own.halvedAt = t_;
-        } else if (good && own.latency < kShortRun * own.best) {
-            own.window = std::min<double>(windowMost(), own.window + kWindowStep);
+        // Adjust the window: halve it when attempts take long, and grow it again near the best recent
+        // latency.
+        if (route.latency > kShrinkLatencyRatio * route.bestLatency &&
+            now_ > route.windowHalvedAt + route.latency) {
+            route.window = std::max(1.0, route.window / 2);
+            route.windowHalvedAt = now_;
+        } else if (succeeded && route.latency < kGrowLatencyRatio * route.bestLatency) {
+            route.window = std::min<double>(maxWindow(), route.window + kWindowGrowthPerSuccess);
         }
     }
 
-    // Danger: a destination that is down, silent, shut or failing comes back cold and is pushed over by those
-    // who kept sending. From the first sight of an outage until it is warm again, sends are paced (pace()).
-    // Also guards slots and buckets against any destination that answers nothing good. It may hurt where
-    // chance alone makes a short run of failures: then the destination is eased in for one warm-up.
-    void health(Owner& own, const Target& target, const Outcome& o) {
-        const Result result = o.result;
+    // Detects outages and their end. A destination in an outage comes back with reduced capacity, and senders
+    // that kept sending at the full rate would overload it again. From the first evidence of an outage until
+    // the end of the warm-up, sends are limited by pacedRate(). This also protects slots and retry buckets
+    // against any destination that answers without success. The cost: after a short run of random failures a
+    // destination gets one warm-up at a reduced rate.
+    void updateHealth(RouteState& route, const EndpointEntry& endpoint, const Outcome& outcome) {
+        const Result result = outcome.result;
         if (result == Result::delivered) {
-            if (own.down) own.down = false, own.coldAt = t_, own.share = std::max(own.share, kRegained);
-            own.streak = own.fullStreak = 0;
-            place(target.destination).own.streak = place(target.destination).own.fullStreak = 0;
+            if (route.down)
+                route.down = false, route.recoveredAt = now_,
+                route.successShare = std::max(route.successShare, kRecoveredSuccessShare);
+            route.failureStreak = route.rejectionStreak = 0;
+            destinationEntry(endpoint.destinationId).route.failureStreak =
+                destinationEntry(endpoint.destinationId).route.rejectionStreak = 0;
             return;
         }
-        // Danger: at a limit reached, refusals on end look like a shut destination, and the other way round.
-        // Where the refusal itself tells them apart (the wait, or how much of the limit is left), that
-        // decides.
-        const bool told = tellsRoom(o);
-        const bool closed =
-            result == Result::rejected && (o.retryAfter > Duration{} ? seconds(o.retryAfter) > kFullSpan
-                                                                     : told && *o.allowanceLeft > kAmple);
-        if (result == Result::rejected && !closed && told) return;
-        // An outage mostly takes all routes of a destination: what one route refuses speaks of its fellows
-        // too.
-        Owner& whole = place(target.destination).own;
-        if (target.apart && whole.streak++ == 0) whole.streakAt = t_;
-        if (target.apart && result == Result::rejected) ++whole.fullStreak;
-        if (own.streak++ == 0) own.streakAt = t_;
-        if (result == Result::rejected && !closed) ++own.fullStreak;
-        // Danger: where many senders each hold one message for a shut destination, backoff alone adds up to
-        // far more than it can take when it opens. Met seldom, two refusals that tell nothing, apart, are
-        // enough.
-        const bool shut = sparse(own) ? whole.fullStreak >= kFewFull && t_ - whole.streakAt > kFewSpan
-                                      : own.fullStreak >= kFullStreak && t_ - own.streakAt > kFullSpan;
-        // Where a destination is met seldom, a streak never fills: there one failure at each endpoint is
-        // enough, and what is saved up is drawn by chance, so that many senders don't come back together.
-        const auto& fellows = place(target.destination).targets;
-        const bool vague = result == Result::timeout || result == Result::cancelled;
-        const bool spent =
-            sparse(own) && (closed || result != Result::rejected) && (!vague || own.streak >= kVague) &&
-            (target.apart || closed || std::all_of(fellows.begin(), fellows.end(), [](const Target* x) {
-                 return !x->usable || x->streak > 0;
+        // Consecutive rejections occur both in an outage and at a rate limit. Where the rejection itself
+        // tells them apart, by the announced wait or the unused share of the limit, that decides.
+        const bool limitReported = reportsLimit(outcome);
+        const bool showsOutage =
+            result == Result::rejected &&
+            (outcome.retryAfter > Duration{} ? toSeconds(outcome.retryAfter) > kOutageRejectionSeconds
+                                             : limitReported && *outcome.allowanceLeft > kAmpleAllowance);
+        if (result == Result::rejected && !showsOutage && limitReported) return;
+        // An outage usually affects all routes of a destination, so a rejection on one counts for the others.
+        RouteState& destinationRoute = destinationEntry(endpoint.destinationId).route;
+        if (endpoint.separateRoute && destinationRoute.failureStreak++ == 0)
+            destinationRoute.streakStartedAt = now_;
+        if (endpoint.separateRoute && result == Result::rejected) ++destinationRoute.rejectionStreak;
+        if (route.failureStreak++ == 0) route.streakStartedAt = now_;
+        if (result == Result::rejected && !showsOutage) ++route.rejectionStreak;
+        // In a large fleet many senders hold one message each for a destination in an outage, and backoff
+        // alone lets through far more than it can take when it comes back. Where traffic is sparse, two
+        // rejections that report nothing, some time apart, are enough evidence.
+        const bool rejectionsShowOutage =
+            isSparse(route) ? destinationRoute.rejectionStreak >= kSparseOutageRejections &&
+                                  now_ - destinationRoute.streakStartedAt > kSparseOutageSeconds
+                            : route.rejectionStreak >= kOutageRejections &&
+                                  now_ - route.streakStartedAt > kOutageRejectionSeconds;
+        // Sparse traffic never completes a streak of failures, so one failure at each endpoint is enough. The
+        // tokens saved up are then drawn at random, so that many senders do not return at the same time.
+        const auto& siblings = destinationEntry(endpoint.destinationId).endpoints;
+        const bool noAnswer = result == Result::timeout || result == Result::cancelled;
+        const bool allEndpointsFailed =
+            isSparse(route) && (showsOutage || result != Result::rejected) &&
+            (!noAnswer || route.failureStreak >= kSparseOutageTimeouts) &&
+            (endpoint.separateRoute || showsOutage ||
+             std::all_of(siblings.begin(), siblings.end(), [](const EndpointEntry* candidate) {
+                 return !candidate->usable || candidate->failureStreak > 0;
              }));
-        const bool was = own.down;
-        if (own.streak - own.fullStreak >= kStreak || shut || own.share < kMostFail || spent) own.down = true;
-        if (own.down && !was)
-            own.gone = result != Result::rejected || (own.gone && t_ < own.coldAt + seconds(set_.warmUp));
-        if (own.down && !was && sparse(own)) own.credit = random(), own.creditAt = t_;
-    }
-
-    // Danger: refusals above a limit cost the dearest retries, empty the bucket and, at some destinations,
-    // use the limit up. First tries are paced too: from this sender's part of a told limit, or the rate at
-    // which refusals began, down after refusals and up with successes. It may hurt where other senders are
-    // idle, until the pace has grown.
-    void adapt(Owner& own, Result result) {
-        if (own.down) return;
-        if (own.rate == kNever && own.told > 0) own.rate = own.told / set_.senders;
+        const bool wasDown = route.down;
+        if (route.failureStreak - route.rejectionStreak >= kOutageFailures || rejectionsShowOutage ||
+            route.successShare < kOutageSuccessShare || allEndpointsFailed)
+            route.down = true;
+        if (route.down && !wasDown)
+            route.wasUnresponsive =
+                result != Result::rejected ||
+                (route.wasUnresponsive && now_ < route.recoveredAt + toSeconds(settings_.warmUp));
+        if (route.down && !wasDown && isSparse(route)) route.paceTokens = random(), route.paceTokensAt = now_;
+    }
+
+    // Adapts the rate to rejections and successes. Attempts above a rate limit lead to the most expensive
+    // retries, empty the retry bucket and, at some destinations, use up the limit themselves. So first
+    // attempts are limited as well: to this sender's share of a known limit, or to the rate at which
+    // rejections began; less after rejections, more with successes. The cost: where other senders are idle,
+    // part of the limit stays unused until the rate has grown.
+    void adaptRate(RouteState& route, Result result) {
+        if (route.down) return;
+        if (route.rateCap == kNever && route.rateLimit > 0)
+            route.rateCap = route.rateLimit / settings_.senders;
         if (result == Result::rejected) {
-            own.credit = std::min(own.credit, 0.0);  // what was saved up would be refused as well
-            if (t_ < own.cutAt + kCutPause) return;
-            if (sparse(own) && t_ > own.cutAt + kCalm) own.rate = kNever;
-            own.cutAt = t_;
-            const double decayed = own.sent * std::exp(-(t_ - own.sentAt) / kRateSpan);
-            own.rate = std::max(kPaceFloor, kCut * std::min(own.rate, std::max(decayed, fair(own))));
-        } else if (result == Result::delivered && own.rate != kNever) {
-            // Danger: a limit that was low for a while leaves the pace far down when it is back. Below this
-            // sender's part the pace catches up, the faster the longer no refusal has come.
-            const double calm = std::min((t_ - own.cutAt) / kCalm, kCalmMost);
-            own.rate += kGrow * own.rate + kCatchUp * calm * std::max(0.0, fair(own) - own.rate);
-            if (own.told > 0) own.rate = std::min(own.rate, own.told);
+            route.paceTokens = std::min(route.paceTokens, 0.0);  // saved-up attempts would be rejected too
+            if (now_ < route.rateCutAt + kRateCutPauseSeconds) return;
+            if (isSparse(route) && now_ > route.rateCutAt + kRecentRejectionSeconds) route.rateCap = kNever;
+            route.rateCutAt = now_;
+            const double decayed =
+                route.sendRate * std::exp(-(now_ - route.sendRateAt) / kSendRateSmoothingSeconds);
+            route.rateCap =
+                std::max(kMinRatePerSecond,
+                         kRateCutFactor * std::min(route.rateCap, std::max(decayed, fairRate(route))));
+        } else if (result == Result::delivered && route.rateCap != kNever) {
+            // A rate limit that was low for a while leaves the rate far too low once it is restored. Below
+            // the fair share the rate catches up, the faster the longer there has been no rejection.
+            const double rejectionFree =
+                std::min((now_ - route.rateCutAt) / kRecentRejectionSeconds, kMaxCatchUpFactor);
+            route.rateCap +=
+                kRateGrowthPerSuccess * route.rateCap +
+                kRateCatchUpPerSuccess * rejectionFree * std::max(0.0, fairRate(route) - route.rateCap);
+            if (route.rateLimit > 0) route.rateCap = std::min(route.rateCap, route.rateLimit);
         }
     }
 
-    // Danger: one endpoint of several is dead and each try there is wasted, since the list does not tell.
-    // After failures it is left alone for a growing while, then tried with one call that may be repeated.
-    // Also catches entries of a stale list. Where all endpoints fail, health() decides and none is left out.
-    void shun(Target& target, Result result) {
-        if (result == Result::delivered) target.streak = 0, target.avoidUntil = 0;
+    // Avoids an endpoint that fails while others of the destination work: discovery may still list a dead
+    // endpoint or a stale address, and every attempt there is wasted. It is avoided for a growing time and
+    // then tested with a single attempt that may be repeated. If all endpoints fail, none is avoided, and
+    // updateHealth() decides.
+    void backOffEndpoint(EndpointEntry& endpoint, Result result) {
+        if (result == Result::delivered) endpoint.failureStreak = 0, endpoint.avoidUntil = 0;
         if (result == Result::delivered || result == Result::rejected) return;
-        if (target.streak >= kShunAfter || result == Result::connectFailed)
-            target.avoidUntil = t_ + std::min(kShunMost, kShun * std::pow(2.0, target.streak - 1));
-    }
-
-    // Danger: hundreds of senders that each try now and then add up to more than a limit; where refused calls
-    // use it up, nothing gets through any more, and each of them sees only its few refusals. So what they may
-    // send unasked adds up to less than the limit, and what lies idle of it goes to those that have more: an
-    // answer that tells room allows further calls. It may hurt a sender with a clump, for a few seconds.
-    void share(Owner& own, const Outcome& o) {
-        if (own.down) return;
-        if (o.result == Result::rejected) {
-            // Danger: senders that are refused together would all have their next call due at one moment,
-            // and be refused together again. Each goes on from its own place in the span between two calls.
-            own.credit = random() - 0.5;
-            if (t_ < own.cutAt + kCutPause) return;
-            own.parts = std::max(kLeastPart, kEase * parts(own));
-            own.cutAt = own.partsAt = t_;
-        } else if (o.result == Result::delivered && t_ > own.coldAt + seconds(set_.warmUp)) {
-            const double left = tellsRoom(o) ? *o.allowanceLeft : kUntoldRoom;
-            own.credit = std::min(1.0, own.credit + kRoom * left);
-            own.parts = std::min(kMostParts, parts(own) + kMore * left);
-            own.partsAt = t_;
-        } else if (o.result == Result::delivered) {
-            // Danger: equal parts of what a cold destination can do lie idle with those who hold nothing for
-            // it. A delivery there allows a part of a call more. Deliveries come no faster than it can, so
-            // with kRamp the sum stays under the fall multiple even where every sender holds plenty. Danger:
-            // after refusals alone it may not be cold but short of room, and more calls would be refused as
-            // well.
-            own.credit = std::min(1.0, own.credit + (own.gone ? coldRoom_ : kWornRoom));
-        } else if (o.result == Result::connectFailed) {
-            own.credit = std::min(1.0, own.credit + 1);  // what never connected weighs nothing
+        if (endpoint.failureStreak >= kEndpointBackoffFailures || result == Result::connectFailed)
+            endpoint.avoidUntil =
+                now_ + std::min(kMaxEndpointBackoffSeconds,
+                                kEndpointBackoffSeconds * std::pow(2.0, endpoint.failureStreak - 1));
+    }
+
+    // Adapts this sender's share of a rate limit in a large fleet. Hundreds of senders with a few attempts
+    // each can together exceed a limit, and if rejected attempts use it up, nothing gets through, although
+    // each sender sees only a few rejections. So the equal shares add up to less than the limit, and senders
+    // with more messages get the rest: an answer that reports an unused part of the limit allows further
+    // attempts. The cost: a sender with a burst of messages is held back for a few seconds.
+    void updateFairShare(RouteState& route, const Outcome& outcome) {
+        if (route.down) return;
+        if (outcome.result == Result::rejected) {
+            // Senders that are rejected at the same time would otherwise send their next attempts at the same
+            // time, and be rejected together again. A random offset within the interval between two attempts
+            // spreads them.
+            route.paceTokens = random() - 0.5;
+            if (now_ < route.rateCutAt + kRateCutPauseSeconds) return;
+            route.fairShares = std::max(kMinFairShares, kFairShareCutFactor * fairShares(route));
+            route.rateCutAt = route.fairSharesAt = now_;
+        } else if (outcome.result == Result::delivered &&
+                   now_ > route.recoveredAt + toSeconds(settings_.warmUp)) {
+            const double left = reportsLimit(outcome) ? *outcome.allowanceLeft : kDefaultAllowanceLeft;
+            route.paceTokens = std::min(1.0, route.paceTokens + kDeliveryTokens * left);
+            route.fairShares = std::min(kMaxFairShares, fairShares(route) + kFairShareGrowth * left);
+            route.fairSharesAt = now_;
+        } else if (outcome.result == Result::delivered) {
+            // During a warm-up, the equal shares of senders without messages are unused, so a delivery allows
+            // part of a further attempt. Deliveries come no faster than the destination can make them, so
+            // together with kRecoveryRateFactor the total stays below the overload multiple even if every
+            // sender has a backlog. After an outage with rejections only, the destination may be short of
+            // capacity rather than cold, and more attempts would be rejected too: there the part is smaller.
+            route.paceTokens =
+                std::min(1.0, route.paceTokens +
+                                  (route.wasUnresponsive ? recoveryDeliveryTokens_ : kWarmUpDeliveryTokens));
+        } else if (outcome.result == Result::connectFailed) {
+            route.paceTokens = std::min(1.0, route.paceTokens + 1);  // a failed connect puts no load on it
         }
     }
-    double parts(const Owner& own) const {
-        return 1 + (own.parts - 1) * std::exp(-(t_ - own.partsAt) / kPartFades);
-    }
-
-    // This sender's part of what the destination can take, in calls a second.
-    double fair(const Owner& own) const {
-        return std::max(own.told > 0 ? own.told / set_.senders : own.best1s, kFairFloor / set_.senders);
-    }
-
-    // Calls a second that may be sent now; kNever where nothing bounds it but the window.
-    double pace(const Owner& own, int routes) const {
-        const double budget =
-            set_.overloadMultiple > 0 ? std::min(1.0, set_.overloadMultiple * set_.coldCapacityShare) : 1.0;
-        // A lone message stands for a larger part than the equal one: few of the senders hold one just then.
-        // Routes apart share it, or one message would knock at each of them.
-        const double part = sparse(own) ? std::max(fair(own), lone_ / routes) : fair(own);
-        if (own.down || own.silent >= kSilentCalls) return kTrickle * budget * part;
-        const double warm = seconds(set_.warmUp);
-        if (t_ < own.coldAt + warm)
-            return kRamp * part *
-                   (set_.coldCapacityShare + (1 - set_.coldCapacityShare) * (t_ - own.coldAt) / warm);
-        if (inParts(own)) return kEqual * fair(own) * parts(own);
-        // Danger: one of very many senders meets a destination seldom; its equal part of the limit is less
-        // than chance brings it, and a pace at that part holds nearly all. There only refusals slow it down,
-        // for as long as they are fresh. It may hurt where all senders burst together.
-        if (sparse(own) && t_ > own.cutAt + kCalm) return kNever;
-        return own.rate;
-    }
-    bool sparse(const Owner& own) const { return set_.senders > kFewSenders && fair(own) < kSparse; }
-    // Paced by share(), not by adapt(): where met seldom, and where many share a warm-up.
-    bool inParts(const Owner& own) const {
-        const bool warming = set_.senders > kFewSenders && t_ < own.coldAt + seconds(set_.warmUp);
-        return (sparse(own) || warming) && own.told > 0;
-    }
-    static bool tellsRoom(const Outcome& o) { return o.allowedRate && *o.allowedRate > 0 && o.allowanceLeft; }
-
-    double credit(Owner& own, int routes) {
-        if (pace(own, routes) == kNever) return own.creditAt = t_, own.credit = 1;
-        // A told wait ends for all senders at once: nothing is saved up meanwhile.
-        own.creditAt = std::max(own.creditAt, std::min(own.waitUntil, t_));
-        own.credit = std::min(std::max(1.0, kBurst * std::min(pace(own, routes), kBurstMost)),
-                              own.credit + pace(own, routes) * (t_ - own.creditAt));
-        own.creditAt = t_;
-        return own.credit;
-    }
-
-    // What one in doubt may be sent beside its pace; only deliveries save up more than a call.
-    bool believed(Owner& own) {
-        if (!own.doubted) return true;
-        if (own.provenAt == kNever && own.calls > 0) return false;
-        const double budget =
-            set_.overloadMultiple > 0 ? std::min(1.0, set_.overloadMultiple * set_.coldCapacityShare) : 1.0;
-        const double base = (own.provenAt == kNever ? kTrickle : kDoubtBase) * budget * fair(own);
-        if (own.belief < 1) own.belief = std::min(1.0, own.belief + base * (t_ - own.beliefAt));
-        own.beliefAt = t_;
-        return own.belief >= 1 || lookAt(t_ + std::min((1 - own.belief) / base, kSoon) + kGuard);
-    }
-
-    // The retry design: may it be tried again, after what pause and at what cost?
-    void retry(std::uint64_t seq, Message& m, Result result) {
-        const bool again = result == Result::rejected || result == Result::connectFailed ||
-                           result == Result::notForwarded || m.effect != Effect::unsafe;
-        if (!again || m.attempts >= set_.maxAttempts) return end(seq);
-        // Danger: what could not go in time keeps trying, takes the room of fresh messages that are worth
-        // more, and the load stays up long after its cause has gone. PriorAttempts its aim a message waits
-        // longer between tries, and does not hold up a line of its key. It may hurt where a destination is
-        // back just then.
-        const bool old = set_.senders > kFewSenders && t_ > m.aimAt;
-        if (old && m.key && turns_.at(*m.key).line.size() > 1) return end(seq);
-        const Sec range = kBackoffBase * std::pow(2.0, m.attempts) * (old ? kOldWaits : 1);
-        m.notBefore = t_ + range * (kBackoffFloor + (1 - kBackoffFloor) * random());
-        m.price = result == Result::notForwarded ? 0
-                  : result == Result::rejected   ? kThrottledCost
-                                                 : kRetryCost;
-        if (m.notBefore + owner(m).latency > m.deadline) end(seq);
+    double fairShares(const RouteState& route) const {
+        return 1 + (route.fairShares - 1) * std::exp(-(now_ - route.fairSharesAt) / kFairShareDecaySeconds);
+    }
+
+    // This sender's fair share of the destination's capacity, in attempts per second.
+    double fairRate(const RouteState& route) const {
+        return std::max(route.rateLimit > 0 ? route.rateLimit / settings_.senders : route.bestDeliveryRate,
+                        kMinFairRatePerSecond / settings_.senders);
+    }
+
+    // Current limit in attempts per second; kNever if only the window limits the sending.
+    double pacedRate(const RouteState& route, int routes) const {
+        const double coldRateShare =
+            settings_.overloadMultiple > 0
+                ? std::min(1.0, settings_.overloadMultiple * settings_.coldCapacityShare)
+                : 1.0;
+        // A single message gets more than the equal share of a sparse rate, as few other senders hold a
+        // message at the same time. Separate routes divide this among them, so that one message is not sent
+        // to each of them.
+        const double share =
+            isSparse(route) ? std::max(fairRate(route), rareMessageRate_ / routes) : fairRate(route);
+        if (route.down || route.unansweredAttempts >= kSilentAttempts)
+            return kOutageRateFactor * coldRateShare * share;
+        const double warmUp = toSeconds(settings_.warmUp);
+        if (now_ < route.recoveredAt + warmUp)
+            return kRecoveryRateFactor * share *
+                   (settings_.coldCapacityShare +
+                    (1 - settings_.coldCapacityShare) * (now_ - route.recoveredAt) / warmUp);
+        if (usesFairShares(route)) return kFairShareLimitFraction * fairRate(route) * fairShares(route);
+        // In a large fleet the fair share of a limit is below the normal random arrival rate of messages, and
+        // a limit at that share would delay nearly all of them. So only recent rejections slow the sending
+        // down. The cost: bursts at all senders at once can exceed the limit.
+        if (isSparse(route) && now_ > route.rateCutAt + kRecentRejectionSeconds) return kNever;
+        return route.rateCap;
+    }
+    bool isSparse(const RouteState& route) const {
+        return settings_.senders > kSmallFleetSenders && fairRate(route) < kSparseRatePerSecond;
+    }
+    // True if updateFairShare() controls the rate rather than adaptRate(): for sparse traffic, and in a large
+    // fleet during a warm-up.
+    bool usesFairShares(const RouteState& route) const {
+        const bool warming =
+            settings_.senders > kSmallFleetSenders && now_ < route.recoveredAt + toSeconds(settings_.warmUp);
+        return (isSparse(route) || warming) && route.rateLimit > 0;
+    }
+    static bool reportsLimit(const Outcome& outcome) {
+        return outcome.allowedRate && *outcome.allowedRate > 0 && outcome.allowanceLeft;
+    }
+
+    double refillPaceTokens(RouteState& route, int routes) {
+        if (pacedRate(route, routes) == kNever) return route.paceTokensAt = now_, route.paceTokens = 1;
+        // An announced wait ends for all senders at once, so nothing is saved up during it.
+        route.paceTokensAt = std::max(route.paceTokensAt, std::min(route.waitUntil, now_));
+        route.paceTokens = std::min(
+            std::max(1.0, kBurstSeconds * std::min(pacedRate(route, routes), kMaxBurstRatePerSecond)),
+            route.paceTokens + pacedRate(route, routes) * (now_ - route.paceTokensAt));
+        route.paceTokensAt = now_;
+        return route.paceTokens;
+    }
+
+    // Whether an unconfirmed destination may get another attempt. Time saves up one attempt at most; only
+    // deliveries save up more.
+    bool mayTryUnconfirmed(RouteState& route) {
+        if (!route.unconfirmed) return true;
+        if (route.firstDeliveryAt == kNever && route.attemptsOut > 0) return false;
+        const double coldRateShare =
+            settings_.overloadMultiple > 0
+                ? std::min(1.0, settings_.overloadMultiple * settings_.coldCapacityShare)
+                : 1.0;
+        const double base = (route.firstDeliveryAt == kNever ? kOutageRateFactor : kUnconfirmedRateFactor) *
+                            coldRateShare * fairRate(route);
+        if (route.unconfirmedTokens < 1)
+            route.unconfirmedTokens =
+                std::min(1.0, route.unconfirmedTokens + base * (now_ - route.unconfirmedTokensAt));
+        route.unconfirmedTokensAt = now_;
+        return route.unconfirmedTokens >= 1 ||
+               checkAt(now_ + std::min((1 - route.unconfirmedTokens) / base, kMaxPaceCheckSeconds) +
+                       kRoundingMarginSeconds);
+    }
+
+    // Decides whether the message may be retried, after which backoff and at which cost.
+    void scheduleRetry(std::uint64_t sequence, Message& message, Result result) {
+        const bool mayRetry = result == Result::rejected || result == Result::connectFailed ||
+                              result == Result::notForwarded || message.effect != Effect::unsafe;
+        if (!mayRetry || message.attempts >= settings_.maxAttempts) return giveFinalAnswer(sequence);
+        // Messages that could not be delivered in time keep retrying, take capacity from fresh messages with
+        // a higher value, and keep the load high long after its cause is gone. So in a large fleet a message
+        // past its delivery target has a longer backoff, and ends instead of holding up others with its order
+        // key. The cost: it may miss a destination that has just recovered.
+        const bool pastTarget = settings_.senders > kSmallFleetSenders && now_ > message.deliveryTargetAt;
+        if (pastTarget && message.orderKey && orderQueues_.at(*message.orderKey).sequences.size() > 1)
+            return giveFinalAnswer(sequence);
+        const Seconds range =
+            kBackoffBaseSeconds * std::pow(2.0, message.attempts) * (pastTarget ? kLateBackoffFactor : 1);
+        message.notBefore = now_ + range * (kBackoffMinFraction + (1 - kBackoffMinFraction) * random());
+        message.pendingTokens = result == Result::notForwarded ? 0
+                                : result == Result::rejected   ? kRejectedRetryCostTokens
+                                                               : kRetryCostTokens;
+        if (message.notBefore + routeOf(message).latency > message.deadline) giveFinalAnswer(sequence);
     }
 
     // ---- final answers ----
-    bool mayRefuse(const Message& m) const {
-        const MessageClass& g = set_.messageClasses[m.grade];
-        return !m.mayHaveRun || m.effect == Effect::pure ||
-               (m.effect == Effect::keyed && g.keyScope == KeyScope::all);
-    }
-
-    void end(std::uint64_t seq) {
-        Message& m = messages_.at(seq);
-        if (mayRefuse(m)) {
-            Sec advice = std::max(owner(m).waitUntil - t_, 0.0);
-            if (set_.maxRetryAfter > Duration{}) advice = std::min(advice, seconds(set_.maxRetryAfter));
-            actions_.push_back(Refuse{m.id, duration(advice)});
+    bool isSafeToResubmit(const Message& message) const {
+        const MessageClass& messageClass = settings_.messageClasses[message.classIndex];
+        return !message.mayHaveRun || message.effect == Effect::pure ||
+               (message.effect == Effect::keyed && messageClass.keyScope == KeyScope::all);
+    }
+
+    void giveFinalAnswer(std::uint64_t sequence) {
+        Message& message = messages_.at(sequence);
+        if (isSafeToResubmit(message)) {
+            Seconds retryIn = std::max(routeOf(message).waitUntil - now_, 0.0);
+            if (settings_.maxRetryAfter > Duration{})
+                retryIn = std::min(retryIn, toSeconds(settings_.maxRetryAfter));
+            actions_.push_back(Refuse{message.id, toDuration(retryIn)});
         } else {
-            actions_.push_back(Fail{m.id});
+            actions_.push_back(Fail{message.id});
         }
-        m.ended = true;
-        settle(seq);
-    }
-
-    // Forgets a message that is answered and has no attempt out. Danger: what it paid for a try that never
-    // went out (behind a wait, a pace or a full window) would be lost to the others, just when most retries
-    // stand there.
-    void settle(std::uint64_t seq) {
-        const auto it = messages_.find(seq);
-        if (it->second.out()) return;
-        it->second.place->bucket.giveBack(it->second.paid);
-        if (it->second.key) {
-            auto& line = turns_[*it->second.key].line;
-            line.erase(std::find(line.begin(), line.end(), seq));
+        message.ended = true;
+        removeIfFinished(sequence);
+    }
+
+    // Removes a message that has its final answer and no attempt in flight. Tokens paid for an attempt that
+    // was never sent, because of an announced wait, the rate or a full window, go back to the bucket:
+    // otherwise they would be lost to other messages just when most retries are waiting.
+    void removeIfFinished(std::uint64_t sequence) {
+        const auto it = messages_.find(sequence);
+        if (it->second.hasActiveAttempt()) return;
+        it->second.destination->bucket.refund(it->second.paidTokens);
+        if (it->second.orderKey) {
+            auto& sequences = orderQueues_[*it->second.orderKey].sequences;
+            sequences.erase(std::find(sequences.begin(), sequences.end(), sequence));
         }
-        --it->second.place->held;
-        byId_.erase(it->second.id);
+        --it->second.destination->heldMessages;
+        sequenceById_.erase(it->second.id);
         messages_.erase(it);
     }
 
     // ---- each turn ----
-    void follow() {
-        if (!set_.listOnRequest || t_ < followAt_) return;
-        followAt_ = kNever;
+    void subscribeIfDue() {
+        if (!settings_.listOnRequest || now_ < subscribeAt_) return;
+        subscribeAt_ = kNever;
         actions_.push_back(SubscribeToList{});
     }
 
-    // Until when another attempt may be sent, as far as the message's class goes.
-    Sec lastSend(const Message& m) const {
-        const MessageClass& g = set_.messageClasses[m.grade];
-        if (!m.mayHaveRun || m.effect == Effect::pure) return kNever;
-        return m.effect == Effect::unsafe ? m.taken - kTick : m.keyedFrom + seconds(g.keyWindow);
+    // Latest time at which another attempt may be sent, as far as the effect of the message goes.
+    Seconds lastAllowedSend(const Message& message) const {
+        const MessageClass& messageClass = settings_.messageClasses[message.classIndex];
+        if (!message.mayHaveRun || message.effect == Effect::pure) return kNever;
+        return message.effect == Effect::unsafe ? message.acceptedAt - kMinTimerSeconds
+                                                : message.keyWindowStart + toSeconds(messageClass.keyWindow);
     }
 
-    // Until when each way to the destination is told to wait.
-    Sec waitOver(Place& dest) {
-        Sec soonest = dest.targets.empty() ? dest.own.waitUntil : kNever;
-        for (Target* target : dest.targets) soonest = std::min(soonest, owner(*target).waitUntil);
+    // Time until which every route of the destination is in an announced wait.
+    Seconds earliestWaitEnd(DestinationEntry& destination) {
+        Seconds soonest = destination.endpoints.empty() ? destination.route.waitUntil : kNever;
+        for (EndpointEntry* endpoint : destination.endpoints)
+            soonest = std::min(soonest, routeOf(*endpoint).waitUntil);
         return soonest;
     }
 
-    // Ends what can no longer be delivered, before the deadline.
-    void sweep() {
-        std::vector<std::uint64_t> late;
-        for (const auto& [seq, m] : messages_) {
-            if (m.ended || m.out()) continue;
-            // Nothing is sent past the attempt limit or the key's window: what got there ends at once.
-            const bool spent = m.attempts >= set_.maxAttempts;
-            const Sec last = spent ? m.taken : std::min(lastSend(m), m.deadline);
-            const Sec due = last - kAnswerMargin - kTick;
-            // Danger: a wait that outlasts the message leaves nothing to hope for; held to its end it would
-            // only keep its client from hearing when to come back.
-            if (t_ > due || waitOver(*m.place) > due) late.push_back(seq);
-            else lookAt(due + kGuard);
+    // Ends messages that can no longer be delivered, before their deadline.
+    void endExpired() {
+        std::vector<std::uint64_t> expired;
+        for (const auto& [sequence, message] : messages_) {
+            if (message.ended || message.hasActiveAttempt()) continue;
+            // Nothing is sent beyond the attempt limit or the key window, so such a message ends at once.
+            const bool attemptsExhausted = message.attempts >= settings_.maxAttempts;
+            const Seconds last =
+                attemptsExhausted ? message.acceptedAt : std::min(lastAllowedSend(message), message.deadline);
+            const Seconds due = last - kAnswerMarginSeconds - kMinTimerSeconds;
+            // If the announced wait outlasts the message, holding it would only delay the answer that tells
+            // the client when to submit it again.
+            if (now_ > due || earliestWaitEnd(*message.destination) > due) expired.push_back(sequence);
+            else checkAt(due + kRoundingMarginSeconds);
         }
-        for (const auto seq : late) end(seq);
-        for (auto it = turns_.begin(); it != turns_.end();)
-            it = it->second.line.empty() && it->second.restUntil < t_ ? turns_.erase(it) : std::next(it);
-    }
-
-    // Danger: a destination that takes calls and answers none holds their slots until the time-out, and no
-    // outcome tells. While calls are out for long with no answer since, sends are held to the outage's
-    // trickle; an answer lifts that at once, a time-out goes to health(). Also catches vanished machines. It
-    // may hurt where a very slow destination answers in the end. The same tells a silent endpoint from its
-    // fellows: choose() passes it over.
-    void listen() {
-        unhush();
-        for (auto& [id, call] : calls_) call.target->silent = false;
-        for (const auto& [id, call] : calls_) {
-            Owner& own = owner(*call.target);
-            const Sec silentAt =
-                call.sentAt + std::max(kLeastSilence, kSilent * std::max(own.latency, kFirstLatency));
-            if (own.answeredAt >= call.sentAt && call.target->answeredAt >= call.sentAt) continue;
-            if (t_ < silentAt) {
-                lookAt(silentAt);
+        for (const auto sequence : expired) giveFinalAnswer(sequence);
+        for (auto it = orderQueues_.begin(); it != orderQueues_.end();)
+            it = it->second.sequences.empty() && it->second.pausedUntil < now_ ? orderQueues_.erase(it)
+                                                                               : std::next(it);
+    }
+
+    // Detects destinations and endpoints that accept attempts and never answer. They hold their slots until
+    // the timeout, without any outcome that shows the outage. While attempts are overdue and no later one has
+    // been answered, sends are limited to the rate of an outage; an answer lifts this at once, and a timeout
+    // goes to updateHealth(). This also covers machines that have vanished. The cost: a very slow destination
+    // gets fewer attempts until it answers. A single unresponsive endpoint is avoided by chooseEndpoint().
+    void detectSilence() {
+        clearUnanswered();
+        for (auto& [id, attempt] : activeAttempts_) attempt.endpoint->unresponsive = false;
+        for (const auto& [id, attempt] : activeAttempts_) {
+            RouteState& route = routeOf(*attempt.endpoint);
+            const Seconds overdueAt =
+                attempt.sentAt +
+                std::max(kMinSilenceSeconds,
+                         kSilenceLatencyFactor * std::max(route.latency, kDefaultLatencySeconds));
+            if (route.lastAnsweredSendAt >= attempt.sentAt &&
+                attempt.endpoint->lastAnsweredSendAt >= attempt.sentAt)
+                continue;
+            if (now_ < overdueAt) {
+                checkAt(overdueAt);
                 continue;
             }
-            if (call.target->answeredAt < call.sentAt) call.target->silent = true;
-            if (own.answeredAt < call.sentAt && own.silent++ == 0) hushed_.push_back(&own);
+            if (attempt.endpoint->lastAnsweredSendAt < attempt.sentAt) attempt.endpoint->unresponsive = true;
+            if (route.lastAnsweredSendAt < attempt.sentAt && route.unansweredAttempts++ == 0)
+                unansweredRoutes_.push_back(&route);
         }
     }
 
-    void unhush() {
-        for (Owner* own : hushed_) own->silent = 0;
-        hushed_.clear();
+    void clearUnanswered() {
+        for (RouteState* route : unansweredRoutes_) route->unansweredAttempts = 0;
+        unansweredRoutes_.clear();
     }
 
-    // Worth of the message if it is delivered then.
-    double worth(const Message& m, Sec at) const {
-        const MessageClass& g = set_.messageClasses[m.grade];
-        if (at > m.deadline) return 0;
-        const Sec late = std::max(0.0, at - m.aimAt);
-        if (set_.decay == Decay::exponential)
-            return g.value * std::max(g.lateValueShare, std::exp2(-late / seconds(g.deliveryTarget)));
-        return g.value * (1 - (1 - g.lateValueShare) * late /
-                                  std::max(seconds(g.timeToLive - g.deliveryTarget), kTick));
+    // Value of the message if it is delivered at that time.
+    double valueAt(const Message& message, Seconds at) const {
+        const MessageClass& messageClass = settings_.messageClasses[message.classIndex];
+        if (at > message.deadline) return 0;
+        const Seconds lateBy = std::max(0.0, at - message.deliveryTargetAt);
+        if (settings_.decay == Decay::exponential)
+            return messageClass.value * std::max(messageClass.lateValueShare,
+                                                 std::exp2(-lateBy / toSeconds(messageClass.deliveryTarget)));
+        return messageClass.value *
+               (1 - (1 - messageClass.lateValueShare) * lateBy /
+                        std::max(toSeconds(messageClass.timeToLive - messageClass.deliveryTarget),
+                                 kMinTimerSeconds));
     }
 
-    // What sending now rather than a little later saves, for each second that a slot is held for it.
-    double gain(const Message& m) {
-        const Sec takes = std::max(owner(m).latency, kLeastTakes);
-        return (worth(m, t_ + takes) - worth(m, t_ + takes + kHorizon)) / takes;
+    // Value lost by sending the message later instead of now, per second that its attempt would occupy a
+    // slot.
+    double valueLossRate(const Message& message) {
+        const Seconds expectedSeconds = std::max(routeOf(message).latency, kMinAttemptSeconds);
+        return (valueAt(message, now_ + expectedSeconds) -
+                valueAt(message, now_ + expectedSeconds + kValueHorizonSeconds)) /
+               expectedSeconds;
     }
 
-    // Danger: what waited through a restart is mostly past its aim, and a steady load of fresh messages, each
-    // worth more, would pass it by until its deadline. Its client can't hand it in again, so it goes first
-    // until it has been tried. It may hurt the fresh ones, for as long as that lasts.
-    void pump() {
-        struct Ready {
-            std::uint64_t seq;
-            bool found;
-            double gain;
-            Sec aimAt;
+    // Sends what may be sent, highest loss of value first. Messages that waited through a restart are mostly
+    // past their delivery target, and a steady load of fresh messages with a higher value would pass them by
+    // until their deadline, although their clients cannot submit them again. So they go first until they have
+    // been attempted. The cost: fresh messages wait for as long as that lasts.
+    void sendReady() {
+        struct ReadyMessage {
+            std::uint64_t sequence;
+            bool untriedSinceRestart;
+            double valueLossRate;
+            Seconds deliveryTargetAt;
         };
-        std::vector<Ready> ready;
-        for (const auto& [seq, m] : messages_) {
-            if (m.ended || m.out()) continue;
-            if (t_ < m.notBefore) lookAt(m.notBefore);
-            else ready.push_back({seq, m.found, gain(m), m.aimAt});
+        std::vector<ReadyMessage> ready;
+        for (const auto& [sequence, message] : messages_) {
+            if (message.ended || message.hasActiveAttempt()) continue;
+            if (now_ < message.notBefore) checkAt(message.notBefore);
+            else
+                ready.push_back({sequence, message.untriedSinceRestart, valueLossRate(message),
+                                 message.deliveryTargetAt});
         }
-        std::stable_sort(ready.begin(), ready.end(), [](const Ready& a, const Ready& b) {
-            if (a.found != b.found) return a.found;
-            return a.gain != b.gain ? a.gain > b.gain : a.aimAt < b.aimAt;
+        std::stable_sort(ready.begin(), ready.end(), [](const ReadyMessage& a, const ReadyMessage& b) {
+            if (a.untriedSinceRestart != b.untriedSinceRestart) return a.untriedSinceRestart;
+            return a.valueLossRate != b.valueLossRate ? a.valueLossRate > b.valueLossRate
+                                                      : a.deliveryTargetAt < b.deliveryTargetAt;
         });
-        starved_ = false;
-        for (const auto& [seq, found, gain, aimAt] : ready) {
-            Message& m = messages_.at(seq);
-            if (m.price > 0) {
-                if (!m.place->bucket.pay(m.price, t_)) {
-                    end(seq);
+        waitingForSlot_ = false;
+        for (const auto& [sequence, untriedSinceRestart, valueLossRate, deliveryTargetAt] : ready) {
+            Message& message = messages_.at(sequence);
+            if (message.pendingTokens > 0) {
+                if (!message.destination->bucket.tryPay(message.pendingTokens, now_)) {
+                    giveFinalAnswer(sequence);
                     continue;
                 }
-                m.paid += std::exchange(m.price, 0.0);
+                message.paidTokens += std::exchange(message.pendingTokens, 0.0);
             }
-            if (Target* target = choose(seq, m)) send(m, *target);
+            if (EndpointEntry* endpoint = chooseEndpoint(sequence, message)) sendAttempt(message, *endpoint);
         }
     }
 
-    // The one gate: every send passes here, or waits.
-    bool open(std::uint64_t seq, const Message& m, Target& target) {
-        const MessageClass& g = set_.messageClasses[m.grade];
-        if (!target.usable) return false;
-        Owner& own = owner(target);
-        if (t_ < own.waitUntil) return lookAt(own.waitUntil);
-        if (m.key) {
-            const auto& turns = turns_.at(*m.key);
-            if (turns.line.front() != seq) return false;
-            if (m.attempts == 0 && t_ < turns.restUntil) return lookAt(turns.restUntil);
+    // Whether an attempt at this endpoint may be sent now; every send is checked here. If only time is
+    // missing, requests a check at that time.
+    bool maySend(std::uint64_t sequence, const Message& message, EndpointEntry& endpoint) {
+        const MessageClass& messageClass = settings_.messageClasses[message.classIndex];
+        if (!endpoint.usable) return false;
+        RouteState& route = routeOf(endpoint);
+        if (now_ < route.waitUntil) return checkAt(route.waitUntil);
+        if (message.orderKey) {
+            const auto& queue = orderQueues_.at(*message.orderKey);
+            if (queue.sequences.front() != sequence) return false;
+            if (message.attempts == 0 && now_ < queue.pausedUntil) return checkAt(queue.pausedUntil);
         }
-        if (m.mayHaveRun) {
-            if (m.effect == Effect::unsafe) return false;
-            if (m.effect == Effect::keyed && (t_ + kTick > m.keyedFrom + seconds(g.keyWindow) ||
-                                              (g.keyScope == KeyScope::zone && target.zone != m.keyedZone)))
+        if (message.mayHaveRun) {
+            if (message.effect == Effect::unsafe) return false;
+            if (message.effect == Effect::keyed &&
+                (now_ + kMinTimerSeconds > message.keyWindowStart + toSeconds(messageClass.keyWindow) ||
+                 (messageClass.keyScope == KeyScope::zone && endpoint.zone != message.keyZone)))
                 return false;
         }
-        if (m.attempts >= set_.maxAttempts || t_ >= m.deadline) return false;
-        if (!believed(own)) return false;
-        const double cap = own.troubled() ? std::min(own.window, windowMost() / 2.0) : own.window;
-        const int routes = target.apart ? static_cast<int>(m.place->targets.size()) : 1;
-        if (credit(own, routes) < 1)
-            return lookAt(t_ + std::min((1 - own.credit) / pace(own, routes), kSoon) + kGuard);
-        if (own.calls >= std::max(1, static_cast<int>(cap)) || m.place->calls >= windowMost()) return false;
-        starved_ = starved_ || slotsUsed_ >= set_.slots;
-        return slotsUsed_ < set_.slots;
-    }
-
-    Target* choose(std::uint64_t seq, const Message& m) {
-        const auto& targets = m.place->targets;
-        const bool unsafe = m.effect == Effect::unsafe;
-        const bool spoilt = std::none_of(targets.begin(), targets.end(), [](const Target* x) {
-            return x->usable && x->streak == 0 && !x->silent;
-        });
-        Target* found = nullptr;
-        std::pair<int, double> best;
-        for (Target* target : targets) {
-            const bool doubtful = (target->streak > 0 || target->silent) && !spoilt;
-            if (doubtful && t_ < target->avoidUntil) lookAt(target->avoidUntil);
-            if (doubtful && (t_ < target->avoidUntil || unsafe || target->calls > 0)) continue;
-            if (!open(seq, m, *target)) continue;
-            // Danger: all senders hold one list in one order; the first of equals would get all lone calls,
-            // of a few senders' as of hundreds', and its fellows none. Each sender has an order of its own,
-            // and keeps to it: so connections are used again.
-            const auto rank = std::make_pair(target->calls, target->order);
-            if (!found || rank < best) found = target, best = rank;
+        if (message.attempts >= settings_.maxAttempts || now_ >= message.deadline) return false;
+        if (!mayTryUnconfirmed(route)) return false;
+        const double windowLimit =
+            route.isDegraded() ? std::min(route.window, maxWindow() / 2.0) : route.window;
+        const int routes =
+            endpoint.separateRoute ? static_cast<int>(message.destination->endpoints.size()) : 1;
+        if (refillPaceTokens(route, routes) < 1)
+            return checkAt(now_ +
+                           std::min((1 - route.paceTokens) / pacedRate(route, routes), kMaxPaceCheckSeconds) +
+                           kRoundingMarginSeconds);
+        if (route.attemptsOut >= std::max(1, static_cast<int>(windowLimit)) ||
+            message.destination->attemptsOut >= maxWindow())
+            return false;
+        waitingForSlot_ = waitingForSlot_ || slotsUsed_ >= settings_.slots;
+        return slotsUsed_ < settings_.slots;
+    }
+
+    EndpointEntry* chooseEndpoint(std::uint64_t sequence, const Message& message) {
+        const auto& endpoints = message.destination->endpoints;
+        const bool unsafe = message.effect == Effect::unsafe;
+        const bool noneHealthy =
+            std::none_of(endpoints.begin(), endpoints.end(), [](const EndpointEntry* candidate) {
+                return candidate->usable && candidate->failureStreak == 0 && !candidate->unresponsive;
+            });
+        EndpointEntry* chosen = nullptr;
+        std::pair<int, double> bestRank;
+        for (EndpointEntry* endpoint : endpoints) {
+            const bool suspect = (endpoint->failureStreak > 0 || endpoint->unresponsive) && !noneHealthy;
+            if (suspect && now_ < endpoint->avoidUntil) checkAt(endpoint->avoidUntil);
+            if (suspect && (now_ < endpoint->avoidUntil || unsafe || endpoint->attemptsOut > 0)) continue;
+            if (!maySend(sequence, message, *endpoint)) continue;
+            // All senders have the same list in the same order; if equal endpoints were taken in list order,
+            // the first would get all single attempts of the whole fleet. So each sender has a random order
+            // of its own. It keeps to that order, so that connections are reused.
+            const auto rank = std::make_pair(endpoint->attemptsOut, endpoint->tieBreaker);
+            if (!chosen || rank < bestRank) chosen = endpoint, bestRank = rank;
         }
-        return found;
+        return chosen;
     }
 
-    void send(Message& m, Target& target) {
-        Place& dest = *m.place;
-        Owner& own = owner(target);
-        m.call = ++lastCall_;
-        calls_[m.call] = {target.calls == 0 && t_ < target.keptUntil, &target, t_};
+    void sendAttempt(Message& message, EndpointEntry& endpoint) {
+        DestinationEntry& destination = *message.destination;
+        RouteState& route = routeOf(endpoint);
+        message.attemptId = ++lastAttemptId_;
+        activeAttempts_[message.attemptId] = {
+            endpoint.attemptsOut == 0 && now_ < endpoint.idleConnectionUntil, &endpoint, now_};
         ++slotsUsed_;
-        ++target.calls;
-        ++own.calls;
-        ++dest.calls;
-        own.credit -= 1;
-        own.belief -= 1;
-        own.sent = own.sent * std::exp(-(t_ - own.sentAt) / kRateSpan) + 1 / kRateSpan;
-        own.sentAt = t_;
-        if (m.attempts++ == 0) dest.bucket.firstTry();
-        m.sentAt = t_;
-        const double usual = std::max(own.latency, kFirstLatency);
-        const double extra = m.effect == Effect::unsafe ? kUnsafePatience : 1;
-        const Sec until = std::min(m.deadline, t_ + extra * std::max(kLeastPatience, kPatience * usual));
-        const Sec last = lastSend(m);
-        actions_.push_back(Send{m.id, target.id, start_ + duration(until),
-                                last == kNever ? Time::max() : start_ + duration(last)});
-    }
-
-    // Danger: calls that get no answer, each at another destination, hold all slots and the well destinations
-    // starve, from whatever cause. While a message waits for nothing but a slot, one call a turn is called
-    // off: the longest out, at an endpoint silent since, one that may be repeated before one that may not. It
-    // may hurt a message that would still have been answered.
-    void relieve() {
-        if (!starved_ || !set_.mayCancel) return;
+        ++endpoint.attemptsOut;
+        ++route.attemptsOut;
+        ++destination.attemptsOut;
+        route.paceTokens -= 1;
+        route.unconfirmedTokens -= 1;
+        route.sendRate = route.sendRate * std::exp(-(now_ - route.sendRateAt) / kSendRateSmoothingSeconds) +
+                         1 / kSendRateSmoothingSeconds;
+        route.sendRateAt = now_;
+        if (message.attempts++ == 0) destination.bucket.recordFirstAttempt();
+        message.sentAt = now_;
+        const double expectedLatency = std::max(route.latency, kDefaultLatencySeconds);
+        const double timeoutFactor = message.effect == Effect::unsafe ? kUnsafeTimeoutFactor : 1;
+        const Seconds until = std::min(
+            message.deadline,
+            now_ + timeoutFactor * std::max(kMinTimeoutSeconds, kTimeoutLatencyFactor * expectedLatency));
+        const Seconds last = lastAllowedSend(message);
+        actions_.push_back(Send{message.id, endpoint.id, startTime_ + toDuration(until),
+                                last == kNever ? Time::max() : startTime_ + toDuration(last)});
+    }
+
+    // Frees slots from unanswered attempts. Attempts without an answer at several destinations can occupy all
+    // slots, so that healthy destinations get none. While a message waits only for a slot, one attempt per
+    // turn is cancelled: the oldest one at an unresponsive endpoint, one that may be repeated before one that
+    // may not. The cost: the cancelled attempt might still have been answered.
+    void cancelStuckAttempt() {
+        if (!waitingForSlot_ || !settings_.mayCancel) return;
         Message* worst = nullptr;
-        for (auto& [seq, m] : messages_) {
-            if (!m.out() || m.ended || m.calledOff) continue;
-            const Call& call = calls_.at(m.call);
-            const bool unsafe = m.effect == Effect::unsafe;
-            const Sec jamAt = call.sentAt + kJamPatience * (unsafe ? kJamUnsafe : 1);
-            if (t_ < jamAt) lookAt(jamAt);
-            if (!call.target->silent || t_ < jamAt) continue;
-            if (!worst || call.sentAt < calls_.at(worst->call).sentAt) worst = &m;
+        for (auto& [sequence, message] : messages_) {
+            if (!message.hasActiveAttempt() || message.ended || message.cancelRequested) continue;
+            const ActiveAttempt& attempt = activeAttempts_.at(message.attemptId);
+            const bool unsafe = message.effect == Effect::unsafe;
+            const Seconds stuckAt = attempt.sentAt + kStuckAttemptSeconds * (unsafe ? kUnsafeStuckFactor : 1);
+            if (now_ < stuckAt) checkAt(stuckAt);
+            if (!attempt.endpoint->unresponsive || now_ < stuckAt) continue;
+            if (!worst || attempt.sentAt < activeAttempts_.at(worst->attemptId).sentAt) worst = &message;
         }
         if (!worst) return;
-        worst->calledOff = true;
+        worst->cancelRequested = true;
         actions_.push_back(Cancel{worst->id, worst->attempts - 1});
     }
 
-    // Danger: some endpoints take few connections, idle ones counted, and senders that each keep one
-    // shut each other out. A connection refused at once, or turned away, shows such a kind: none is kept
-    // there where met seldom. Those who keep one learn it from the kind's other endpoints. A crash refuses
-    // at once too, but goes on doing so: refusals on end mean that, and a fleet that then kept none would
-    // pay for a new one with every call long after.
-    // Danger: what stands between may drop idle connections unseen, and the next call on one gets no answer.
-    // Once many more calls get none on kept connections than on new ones, none is kept for a while. It may
-    // hurt where chance alone makes the difference, for the price of new connections.
-    void part() {
-        if (failed_[true] > kDropped + failed_[false]) droppedUntil_ = t_ + kScarce / 2, failed_[true] = 0;
-        for (const auto& id : idle_) {
-            const auto it = targets_.find(id);
-            if (it == targets_.end() || it->second.calls > 0) continue;
-            Target& target = it->second;
-            if (const auto next = later_.find(id); next != later_.end()) {
-                list(Endpoint(next->second));
-                lookAt(t_);
+    // Decides which idle connections to keep.
+    // Some endpoints accept few connections, idle ones included, and senders that each keep one lock each
+    // other out. A connection that is refused at once or rejected shows such a kind of destination, and no
+    // connection is kept there where traffic is sparse. Senders that hold a connection learn this from other
+    // endpoints of the kind. A crashed endpoint refuses connections as well, but keeps doing so: consecutive
+    // refusals mean a crash, as a fleet that then kept no connections would pay for a new one with every
+    // attempt long after.
+    // Network devices may drop idle connections silently, and the next attempt on such a connection gets no
+    // answer. If far more attempts fail that way on reused connections than on new ones, none is kept for a
+    // while. The cost: new connections, even if the difference was random.
+    void updateIdleConnections() {
+        if (unansweredShare_[true] > kUnansweredShareGap + unansweredShare_[false])
+            keepNoIdleUntil_ = now_ + kConnectionsScarceSeconds / 2, unansweredShare_[true] = 0;
+        for (const auto& id : newlyIdle_) {
+            const auto it = endpoints_.find(id);
+            if (it == endpoints_.end() || it->second.attemptsOut > 0) continue;
+            EndpointEntry& endpoint = it->second;
+            if (const auto next = pendingReplacements_.find(id); next != pendingReplacements_.end()) {
+                applyListEntry(Endpoint(next->second));
+                checkAt(now_);
                 continue;
             }
-            const Sec until = std::max(droppedUntil_, scarceUntil_[target.kind]);
-            const bool close = sparse(owner(target)) && t_ < until;
-            target.keptUntil = close ? 0 : t_ + seconds(set_.keepAlive);
+            const Seconds until = std::max(keepNoIdleUntil_, connectionsScarceUntil_[endpoint.kind]);
+            const bool close = isSparse(routeOf(endpoint)) && now_ < until;
+            endpoint.idleConnectionUntil = close ? 0 : now_ + toSeconds(settings_.keepAlive);
             if (close) actions_.push_back(CloseIdleConnections{id});
         }
-        idle_.clear();
+        newlyIdle_.clear();
     }
 
-    // Asks to be woken when the first thing that time alone changes falls due.
-    void wake() {
-        if (set_.listOnRequest) lookAt(followAt_);
-        if (wakeAt_ <= t_ + kTick / 2) wakeAt_ = kNever;  // rounding may bring it a little early
-        const Sec next = std::max(lookAt_, t_ + kTick);
-        if (next >= wakeAt_) return;
-        wakeAt_ = next;
-        actions_.push_back(SetTimer{duration(next - t_)});
+    // Requests a timer for the earliest change that time alone brings.
+    void requestTimer() {
+        if (settings_.listOnRequest) checkAt(subscribeAt_);
+        if (timerAt_ <= now_ + kMinTimerSeconds / 2)
+            timerAt_ = kNever;  // rounding may fire it a little early
+        const Seconds next = std::max(nextCheckAt_, now_ + kMinTimerSeconds);
+        if (next >= timerAt_) return;
+        timerAt_ = next;
+        actions_.push_back(SetTimer{toDuration(next - now_)});
     }
-    bool lookAt(Sec at) {
-        lookAt_ = std::min(lookAt_, at);
+    bool checkAt(Seconds at) {
+        nextCheckAt_ = std::min(nextCheckAt_, at);
         return false;
     }
 
     // ---- helpers ----
-    int windowMost() const { return std::max(1, static_cast<int>(kWindowPart * set_.slots)); }
-    double random() { return std::uniform_real_distribution<double>(0, 1)(chance_); }
-    Place& place(DestinationId id) {
-        auto [it, fresh] = places_.try_emplace(id);
-        if (fresh) it->second.own.window = windowMost();
+    int maxWindow() const { return std::max(1, static_cast<int>(kMaxWindowSlotShare * settings_.slots)); }
+    double random() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
+    DestinationEntry& destinationEntry(DestinationId id) {
+        auto [it, fresh] = destinations_.try_emplace(id);
+        if (fresh) it->second.route.window = maxWindow();
         return it->second;
     }
-    Owner& owner(Target& target) { return target.apart ? target.own : place(target.destination).own; }
-    const Owner& owner(const Message& m) {
-        const Place& dest = *m.place;
-        return dest.targets.empty() || !dest.targets.front()->apart ? dest.own : dest.targets.front()->own;
+    RouteState& routeOf(EndpointEntry& endpoint) {
+        return endpoint.separateRoute ? endpoint.route : destinationEntry(endpoint.destinationId).route;
+    }
+    const RouteState& routeOf(const Message& message) {
+        const DestinationEntry& destination = *message.destination;
+        return destination.endpoints.empty() || !destination.endpoints.front()->separateRoute
+                   ? destination.route
+                   : destination.endpoints.front()->route;
     }
 
-    struct Turns {
-        std::deque<std::uint64_t> line;
-        Sec restUntil = 0;
+    struct OrderQueue {
+        std::deque<std::uint64_t> sequences;
+        Seconds pausedUntil = 0;
     };
 
-    Settings set_;
-    std::mt19937_64 chance_;
-    double lone_ = 0;  // calls a second that a rare message stands for
-    double coldRoom_ = kColdRoom;
+    Settings settings_;
+    std::mt19937_64 rng_;
+    double rareMessageRate_ = 0;  // least rate, per second, while a message waits for sparse traffic
+    double recoveryDeliveryTokens_ = kMaxRecoveryDeliveryTokens;
     bool started_ = false;
-    Time start_{};
-    Sec t_ = 0;
-    std::uint64_t lastSeq_ = 0, lastCall_ = 0;
+    Time startTime_{};
+    Seconds now_ = 0;
+    std::uint64_t lastSequence_ = 0, lastAttemptId_ = 0;
     int slotsUsed_ = 0;
-    bool starved_ = false;  // a message waits for nothing but a slot
-    Sec lookAt_ = kNever;   // when time alone changes something next
-    Sec wakeAt_ = kNever, followAt_ = 0, followPause_ = 0;
+    bool waitingForSlot_ = false;   // some message waits only for a slot
+    Seconds nextCheckAt_ = kNever;  // when time alone brings the next change
+    Seconds timerAt_ = kNever, subscribeAt_ = 0, subscribePause_ = 0;
     std::map<std::uint64_t, Message> messages_;
-    std::unordered_map<MessageId, std::uint64_t> byId_;
-    std::map<EndpointId, Target> targets_;
-    std::unordered_map<DestinationId, Place> places_;
-    std::map<std::uint64_t, Call> calls_;
-    std::map<OrderKey, Turns> turns_;
-    std::vector<Owner*> hushed_;  // owners with silent calls
-    double failed_[2] = {0, 0};  // smoothed shares of calls without an answer, on new and on kept connections
-    bool reports_ = false;       // an answer has told of a limit, or that there is none
-    Sec droppedUntil_ = 0;
-    std::map<int, Sec> scarceUntil_;        // by kind: its endpoints take few connections
-    std::map<EndpointId, Endpoint> later_;  // ids that stand for another destination once their calls end
-    std::vector<EndpointId> idle_;          // endpoints whose last call ended in this turn
-    std::uint64_t lists_ = 0;               // whole lists heard
+    std::unordered_map<MessageId, std::uint64_t> sequenceById_;
+    std::map<EndpointId, EndpointEntry> endpoints_;
+    std::unordered_map<DestinationId, DestinationEntry> destinations_;
+    std::map<std::uint64_t, ActiveAttempt> activeAttempts_;
+    std::map<OrderKey, OrderQueue> orderQueues_;
+    std::vector<RouteState*> unansweredRoutes_;  // with unansweredAttempts above 0
+    // Smoothed shares of attempts without an answer, by reusedConnection.
+    double unansweredShare_[2] = {0, 0};
+    bool limitsReported_ = false;  // some answer has reported a rate limit, or that there is none
+    Seconds keepNoIdleUntil_ = 0;
+    std::map<int, Seconds> connectionsScarceUntil_;  // by kind: its endpoints accept few connections
+    // Entries whose id still has attempts in flight at another destination.
+    std::map<EndpointId, Endpoint> pendingReplacements_;
+    std::vector<EndpointId> newlyIdle_;  // endpoints whose last attempt in flight ended in this turn
+    std::uint64_t listGeneration_ = 0;   // full lists received
     std::vector<Action> actions_;
 };
 
--- a/src/sender_constants.hpp
+++ b/src/sender_constants.hpp
@@ -1,108 +1,153 @@
-// The constants of the decision module: those of the retry design, and those that were chosen for this
-// module. docs/audit-findings.md tells where each comes from and how much hangs on it.
+// Constants of the decision module. Durations are in seconds, rates in attempts per second unless a comment
+// says otherwise. docs/audit-findings.md lists the source and the sensitivity of each value.
 #pragma once
 
 namespace stoathub {
 
-using Sec = double;  // seconds since the sender's first turn
-inline constexpr Sec kNever = 1e18;
+using Seconds = double;  // since the sender's first turn
+inline constexpr Seconds kNever = 1e18;
 
-// The retry design (DESIGN gives the figures; where it says "open" the reason stands here).
-inline constexpr double kBucketCapacity = 50;     // tokens
-inline constexpr double kRetryCost = 5;           // tokens for a retry
-inline constexpr double kThrottledCost = 10;      // tokens for a retry after a refusal as full
-inline constexpr double kRefund = 1;              // tokens back for a success
-inline constexpr double kFirstTriesPerRetry = 3;  // first tries that let time refill one retry's cost
-inline constexpr double kRefillPerSecond = 5;     // tokens; one retry a second, as far as first tries allow
-inline constexpr Sec kBackoffBase = 0.2;          // doubled with each attempt
-inline constexpr double kBackoffFloor =
-    0.25;  // the random fraction of the range is this or more: never at once
-inline constexpr double kWindowPart = 0.75;  // of the slots, where the window starts and its upper bound
-// The window's steps.
-inline constexpr double kLongRun = 3;       // smoothed latency over its best: halve
-inline constexpr double kShortRun = 2;      // and below this regrow
-inline constexpr double kWindowStep = 0.5;  // calls regained for a success
-inline constexpr double kSmooth = 0.15;     // weight of a new latency or outcome in its average
-inline constexpr double kBestDrift = 0.02;  // how fast the best latency forgets, for each success
-inline constexpr double kFailing = 0.5;     // success share below which a destination counts as failing
-inline constexpr double kOldWaits = 4;      // times the backoff for a message past its aim
-inline constexpr Sec kUnsentPause =
-    0.05;  // before a message whose call never left is tried anew, doubled each time
-inline constexpr int kUnsentDoubles = 4;  // at most so often
-// Outages and returns.
-inline constexpr int kStreak = 3;      // failures on end that make an outage
-inline constexpr int kVague = 2;       // calls on end without an answer; one alone may have been merely slow
-inline constexpr int kFullStreak = 4;  // refusals on end that make one, if they last as below:
-inline constexpr Sec kFullSpan = 2.2;  // longer than a limit counts, so not merely a limit reached
-inline constexpr int kFewFull = 2;     // refusals on end that make one where a destination is met seldom,
-inline constexpr Sec kFewSpan = 0.8;   // so far apart that a limit would mostly have let one through
-inline constexpr double kAmple =
-    0.5;  // share of the limit left at a refusal that speaks for a shut destination
-inline constexpr double kMostFail = 0.4;   // success share under which most calls fail
-inline constexpr double kRegained = 0.5;   // the share taken when a success ends an outage
-inline constexpr double kTrickle = 0.8;    // part of the cold budget that is spent during an outage
-inline constexpr double kRamp = 1.25;      // calls over what a returning destination can do
-inline constexpr double kFairFloor = 0.5;  // calls a second: least part of a destination taken as ours
-inline constexpr double kLone =
-    1.5;  // messages in its time to deliver, for which a rare one stands in an outage
-inline constexpr double kRateFade = 0.03;  // how fast the best delivered rate is forgotten, a second
-// A destination in doubt: the trickle of an outage until it first delivers. From then on the senders
-// together stay under the fall multiple: it falls over at 2 times 19% of its capacity, and gets 0.25 times
-// that and 1.4 times what it delivers.
-inline constexpr double kDoubtBase = 0.25;  // part of the cold budget that is spent whatever comes back
-inline constexpr double kDoubtGain = 1.4;   // calls that a delivery allows
-inline constexpr double kDoubtMost = 8;     // of them that may be saved up
-// The pace below a limit.
-inline constexpr Sec kBurst = 0.3;         // seconds of the pace that may be saved up
-inline constexpr double kBurstMost = 20;   // calls a second beyond which saving up stops
-inline constexpr double kCut = 0.85;       // of the pace, after a refusal above the limit
-inline constexpr Sec kCutPause = 1.0;      // at most once in this time
-inline constexpr double kGrow = 0.02;      // of the pace regained for each success
-inline constexpr double kCatchUp = 0.1;    // of the gap to this sender's part regained for each success ...
-inline constexpr Sec kCalm = 3;            // ... times the time since a refusal over this,
-inline constexpr double kCalmMost = 3;     // at most
-inline constexpr Sec kRateSpan = 2.0;      // over which the rate of sends is smoothed
-inline constexpr double kPaceFloor = 0.3;  // calls a second that are always tried
-inline constexpr int kFewSenders = 8;  // so few see each destination often enough for streaks and averages
-inline constexpr double kSparse = 1;   // calls a second: a smaller part is too little to be paced by
-// One of very many senders at a told limit.
-inline constexpr double kEqual = 0.9;      // of the limit that the senders' equal parts add up to
-inline constexpr double kRoom = 0.5;       // of a call that an answer allows besides, times the share left
-inline constexpr double kWornRoom = 0.25;  // the same in a warm-up after refusals, whatever share is left
-inline constexpr double kColdRoom = 0.6;   // and after an outage without answers, as far as the fall multiple
-inline constexpr double kFallSlack = 0.15;  // leaves so much beside kRamp
-inline constexpr double kUntoldRoom = 0.6;  // taken for that share where a delivery tells none
-inline constexpr double kMore = 0.15;       // of the equal part that a delivery adds, times the same
-inline constexpr double kMostParts = 5;     // equal parts that one sender comes to at most
-inline constexpr double kEase = 0.7;        // of the part, after a refusal above the limit
-inline constexpr double kLeastPart = 0.4;   // equal parts that are left at least
-inline constexpr Sec kPartFades = 8;        // over which a part comes back to the equal one
-// Single endpoints.
-inline constexpr int kShunAfter = 2;  // failures on end; one is enough where no connection was made
-inline constexpr Sec kShun = 0.5;     // first time left alone, then doubled
-inline constexpr Sec kShunMost = 4;
-// The choice among messages.
-inline constexpr Sec kHorizon = 3;       // how much later the alternative to sending now is taken to be
-inline constexpr Sec kLeastTakes = 0.1;  // least time a call is taken to need
-// Time-outs.
-inline constexpr double kPatience = 6;      // times the smoothed latency until a repeatable call is given up
-inline constexpr Sec kLeastPatience = 1.5;  // and at least this long
-inline constexpr double kUnsafePatience = 4;  // a time-out ends an unsafe message: wait so much longer
-inline constexpr double kSilent = 4;          // times the latency without an answer to anything: silence
-inline constexpr Sec kJamPatience = 2;   // out so long, a silent call yields its slot to a message that waits
-inline constexpr double kJamUnsafe = 2;  // times that for one that may not be repeated
-inline constexpr int kSilentCalls = 2;   // calls without an answer that make it so
-inline constexpr Sec kLeastSilence = 1.2;  // and at least this long
-inline constexpr Sec kFirstLatency = 0.4;  // taken until a destination has answered
-inline constexpr Sec kTick = 0.01;         // least time between two looks at held messages
-inline constexpr Sec kSoon = 0.25;   // longest time until a message that the pace holds is looked at again
-inline constexpr Sec kForget = 30;   // after a warm-up, a destination with no endpoint is forgotten
-inline constexpr Sec kGuard = 1e-6;  // keeps rounding from ending a wait early
-inline constexpr Sec kAnswerMargin = 0.005;  // final answers go out this long before the deadline
-inline constexpr double kDropped = 0.5;  // share of calls on kept connections without an answer: none is kept
-inline constexpr Sec kScarce = 60;       // after a connection was refused, none is kept at that kind
-inline constexpr Sec kScarceTold = 8;  // and so long after it was turned away, as one that is shut does, too
-inline constexpr Sec kRefollow = 1.0;  // first pause before the list is asked for again
-inline constexpr Sec kRefollowMost = 8.0;  // and the longest
+// ---- retries ----
+// Values of the retry design; a reason stands with those that it leaves open.
+inline constexpr double kBucketCapacityTokens = 50;     // of the retry bucket of one destination
+inline constexpr double kRetryCostTokens = 5;           // for a retry
+inline constexpr double kRejectedRetryCostTokens = 10;  // for a retry after a rejected attempt
+inline constexpr double kSuccessRefundTokens = 1;       // refilled by a delivery
+inline constexpr double kFirstAttemptsPerRetry = 3;     // first attempts that earn one retry's cost of refill
+inline constexpr double kRefillTokensPerSecond = 5;     // refilled over time, within what first attempts earn
+inline constexpr Seconds kBackoffBaseSeconds = 0.2;     // doubled with each attempt
+// The backoff is drawn at random between this fraction of its range and the whole: never an immediate retry.
+inline constexpr double kBackoffMinFraction = 0.25;
+inline constexpr double kLateBackoffFactor = 4;       // on the backoff past the delivery target
+inline constexpr Seconds kUnsentPauseSeconds = 0.05;  // before the next attempt after one that was not sent,
+inline constexpr int kMaxUnsentDoublings = 4;         // doubled each time, up to this many times
+
+// ---- concurrency window ----
+// Initial and largest window of a destination, as a share of the sender's slots.
+inline constexpr double kMaxWindowSlotShare = 0.75;
+// The window halves when the smoothed latency is over this multiple of the best recent one ...
+inline constexpr double kShrinkLatencyRatio = 3;
+inline constexpr double kGrowLatencyRatio = 2;           // ... and grows again when it is below this multiple
+inline constexpr double kWindowGrowthPerSuccess = 0.5;   // attempts
+inline constexpr double kSmoothingWeight = 0.15;         // of a new latency or outcome in its moving average
+inline constexpr double kBestLatencyDriftWeight = 0.02;  // of the current latency in the best, per success
+// Smoothed share of successes below which the window is limited to half of its largest size.
+inline constexpr double kDegradedSuccessShare = 0.5;
+
+// ---- outages and recovery ----
+inline constexpr int kOutageFailures = 3;  // consecutive failures that show an outage
+// Consecutive attempts without an answer that show an outage of a destination with a sparse share of traffic.
+// A single one may only have been slow.
+inline constexpr int kSparseOutageTimeouts = 2;
+// Consecutive rejections show an outage if there are this many of them ...
+inline constexpr int kOutageRejections = 4;
+// ... over more than this time. That is longer than the period over which destinations count their rate
+// limit, so a limit that was merely reached does not qualify.
+inline constexpr Seconds kOutageRejectionSeconds = 2.2;
+// The same where this sender's share of the traffic is sparse: rejections this far apart are unlikely to come
+// from a rate limit, which would have admitted some of the attempts.
+inline constexpr int kSparseOutageRejections = 2;
+inline constexpr Seconds kSparseOutageSeconds = 0.8;
+// A rejection that reports more than this unused share of the rate limit shows an outage.
+inline constexpr double kAmpleAllowance = 0.5;
+inline constexpr double kOutageSuccessShare = 0.4;     // smoothed share of successes that shows an outage
+inline constexpr double kRecoveredSuccessShare = 0.5;  // least share assumed when a success ends an outage
+// Send rate during an outage, as a fraction of the rate at which a cold destination fails: the overload
+// multiple times the cold capacity share.
+inline constexpr double kOutageRateFactor = 0.8;
+inline constexpr double kRecoveryRateFactor = 1.25;   // send rate over the capacity while warming up
+inline constexpr double kMinFairRatePerSecond = 0.5;  // least fair rate of all senders together
+// A sender that holds a single message for a destination in an outage may send it this many times within the
+// message's time to live, however small its fair rate.
+inline constexpr double kRareMessagesPerLifetime = 1.5;
+inline constexpr double kBestRateDecayPerSecond = 0.03;  // fraction of the best delivery rate lost
+
+// ---- unconfirmed destinations ----
+// Until its first delivery an unconfirmed destination is sent to at the rate of an outage. After that all
+// senders together must stay below the overload multiple: a destination that fails at 2 times 19% of its
+// capacity receives 0.25 times that plus 1.4 times what it delivers.
+inline constexpr double kUnconfirmedRateFactor = 0.25;        // of the rate at which it fails
+inline constexpr double kUnconfirmedTokensPerDelivery = 1.4;  // further attempts that a delivery allows
+inline constexpr double kMaxUnconfirmedTokens = 8;            // attempts saved up from deliveries
+
+// ---- rate below a limit ----
+inline constexpr Seconds kBurstSeconds = 0.3;          // attempts saved up, as a time at the paced rate ...
+inline constexpr double kMaxBurstRatePerSecond = 20;   // ... of at most this rate
+inline constexpr double kRateCutFactor = 0.85;         // applied to the rate after a rejection ...
+inline constexpr Seconds kRateCutPauseSeconds = 1.0;   // ... at most once in this time
+inline constexpr double kRateGrowthPerSuccess = 0.02;  // of the rate
+// Each success also closes this fraction of the gap to the fair rate, multiplied by the time since the last
+// rejection over kRecentRejectionSeconds, which is at most kMaxCatchUpFactor.
+inline constexpr double kRateCatchUpPerSuccess = 0.1;
+inline constexpr Seconds kRecentRejectionSeconds = 3;
+inline constexpr double kMaxCatchUpFactor = 3;
+inline constexpr Seconds kSendRateSmoothingSeconds = 2.0;  // time constant of the smoothed send rate
+inline constexpr double kMinRatePerSecond = 0.3;           // least rate, however many rejections
+// In a fleet of up to this many senders each one sees a destination often enough for streaks and averages.
+inline constexpr int kSmallFleetSenders = 8;
+inline constexpr double kSparseRatePerSecond = 1;  // in larger fleets, a smaller fair rate is sparse
+
+// ---- fair shares of a rate limit in a large fleet ----
+inline constexpr double kFairShareLimitFraction = 0.9;  // of the limit, dealt out in equal shares
+// Fraction of a further attempt that an answer allows, multiplied by the reported unused share of the limit.
+inline constexpr double kDeliveryTokens = 0.5;
+// The same during a warm-up after rejections, whatever share is unused ...
+inline constexpr double kWarmUpDeliveryTokens = 0.25;
+// ... and after an outage without answers, as far as the overload multiple allows.
+inline constexpr double kMaxRecoveryDeliveryTokens = 0.6;
+inline constexpr double kOverloadMargin = 0.15;  // of the overload multiple, left beside kRecoveryRateFactor
+inline constexpr double kDefaultAllowanceLeft = 0.6;  // unused share assumed if a delivery reports none
+inline constexpr double kFairShareGrowth = 0.15;  // fair shares gained by a delivery, times the unused share
+inline constexpr double kMaxFairShares = 5;       // that one sender may use
+inline constexpr double kFairShareCutFactor = 0.7;    // applied to the shares in use after a rejection
+inline constexpr double kMinFairShares = 0.4;         // that one sender keeps
+inline constexpr Seconds kFairShareDecaySeconds = 8;  // time constant of the return to one fair share
+
+// ---- single endpoints ----
+// Consecutive failures after which an endpoint is avoided; a failed connect is enough on its own.
+inline constexpr int kEndpointBackoffFailures = 2;
+inline constexpr Seconds kEndpointBackoffSeconds = 0.5;  // at first, then doubled
+inline constexpr Seconds kMaxEndpointBackoffSeconds = 4;
+
+// ---- order of messages ----
+// Messages are ordered by the value that is lost if they are sent this much later.
+inline constexpr Seconds kValueHorizonSeconds = 3;
+inline constexpr Seconds kMinAttemptSeconds = 0.1;  // least duration assumed for an attempt
+
+// ---- timeouts ----
+// An attempt that may be repeated times out after this multiple of the smoothed latency ...
+inline constexpr double kTimeoutLatencyFactor = 6;
+inline constexpr Seconds kMinTimeoutSeconds = 1.5;  // ... and not before this time
+// A timeout is final for a message with an unsafe effect, so its attempts get this many times as long.
+inline constexpr double kUnsafeTimeoutFactor = 4;
+// A destination or endpoint that has answered nothing for this multiple of the latency, and at least
+// kMinSilenceSeconds, is unresponsive. For a destination this takes kSilentAttempts overdue attempts.
+inline constexpr double kSilenceLatencyFactor = 4;
+inline constexpr int kSilentAttempts = 2;
+inline constexpr Seconds kMinSilenceSeconds = 1.2;
+inline constexpr Seconds kDefaultLatencySeconds = 0.4;  // assumed until a destination has answered
+// An attempt at an unresponsive endpoint may be cancelled after this time if another message needs its slot.
+inline constexpr Seconds kStuckAttemptSeconds = 2;
+inline constexpr double kUnsafeStuckFactor = 2;  // times that for an attempt that may not be repeated
+
+// ---- timers ----
+inline constexpr Seconds kMinTimerSeconds = 0.01;  // least time between two timers
+// A message that is held back by the rate is checked again after at most this time.
+inline constexpr Seconds kMaxPaceCheckSeconds = 0.25;
+// A destination without endpoints is removed this long after the warm-up time.
+inline constexpr Seconds kForgetAfterSeconds = 30;
+inline constexpr Seconds kRoundingMarginSeconds = 1e-6;  // keeps rounding from ending a wait early
+inline constexpr Seconds kAnswerMarginSeconds = 0.005;   // final answers precede the deadline by this time
+
+// ---- connections ----
+// No connection is kept if the share of attempts without an answer is higher by this much on reused
+// connections than on new ones.
+inline constexpr double kUnansweredShareGap = 0.5;
+// No idle connection is kept at a kind of destinations for this long after it refused a connection ...
+inline constexpr Seconds kConnectionsScarceSeconds = 60;
+// ... and for this long after it rejected a new connection, which a destination in an outage does as well.
+inline constexpr Seconds kConnectionsRejectedSeconds = 8;
+inline constexpr Seconds kResubscribeSeconds = 1.0;  // first pause before subscribing to the list again
+inline constexpr Seconds kMaxResubscribeSeconds = 8.0;
 
 }  // namespace stoathub
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -11,24 +11,28 @@
 
 }  // namespace
 
-void check(const Settings& s) {
-    require(!s.messageClasses.empty(), "grades is empty");
-    for (const auto& g : s.messageClasses) {
-        require(g.deliveryTarget > Duration{} && g.timeToLive >= g.deliveryTarget,
-                "grades: aim must be above 0 and giveUp at least aim");
-        require(g.keyWindow >= Duration{}, "grades: keyWindow is negative");
-        require(g.value >= 0 && g.lateValueShare >= 0 && g.lateValueShare <= 1,
-                "grades: worth or lateShare out of range");
+void validate(const Settings& settings) {
+    require(!settings.messageClasses.empty(), "messageClasses is empty");
+    for (const auto& messageClass : settings.messageClasses) {
+        require(messageClass.deliveryTarget > Duration{} &&
+                    messageClass.timeToLive >= messageClass.deliveryTarget,
+                "messageClasses: deliveryTarget must be above 0 and timeToLive at least deliveryTarget");
+        require(messageClass.keyWindow >= Duration{}, "messageClasses: keyWindow is negative");
+        require(
+            messageClass.value >= 0 && messageClass.lateValueShare >= 0 && messageClass.lateValueShare <= 1,
+            "messageClasses: value is negative or lateValueShare is not between 0 and 1");
     }
-    require(s.senders >= 1, "senders must be at least 1");
-    require(s.slots >= 1, "slots must be at least 1");
-    require(s.maxHeld >= 1, "maxHeld must be at least 1");
-    require(s.maxAttempts >= 1, "maxAttempts must be at least 1");
-    require(s.orderingPause >= Duration{} && s.warmUp >= Duration{} && s.maxRetryAfter >= Duration{} &&
-                s.connectTimeout >= Duration{} && s.keepAlive >= Duration{},
-            "a time is negative");
-    require(s.coldCapacityShare >= 0 && s.coldCapacityShare <= 1 && s.overloadMultiple >= 0,
-            "coldFrom or fallMultiple out of range");
+    require(settings.senders >= 1, "senders must be at least 1");
+    require(settings.slots >= 1, "slots must be at least 1");
+    require(settings.maxHeld >= 1, "maxHeld must be at least 1");
+    require(settings.maxAttempts >= 1, "maxAttempts must be at least 1");
+    require(settings.orderingPause >= Duration{} && settings.warmUp >= Duration{} &&
+                settings.maxRetryAfter >= Duration{} && settings.connectTimeout >= Duration{} &&
+                settings.keepAlive >= Duration{},
+            "orderingPause, warmUp, maxRetryAfter, connectTimeout or keepAlive is negative");
+    require(
+        settings.coldCapacityShare >= 0 && settings.coldCapacityShare <= 1 && settings.overloadMultiple >= 0,
+        "coldCapacityShare is not between 0 and 1 or overloadMultiple is negative");
 }
 
 }  // namespace stoathub
