--- a/src/rules/connection_rules.cpp
+++ b/src/rules/connection_rules.cpp
@@ -5,55 +5,57 @@
 
 using std::chrono::milliseconds;
 
-// Idle connections go after so long, silent ones, and those in the middle of a request. A usual client sends
-// its request whole, as soon as it has connected.
-constexpr milliseconds kRested{2000};
-constexpr milliseconds kSilent{300};
-constexpr milliseconds kSlow{600};
-
-// In the order in which they go.
-constexpr int kStays = 0;
-constexpr int kIdleOfLate = 1;
+// Age in its phase from which an idle, a silent and a half-received connection may be closed. A normal client
+// sends its whole request as soon as it has connected.
+constexpr milliseconds kLongIdleAge{2000};
+constexpr milliseconds kSilentAge{300};
+constexpr milliseconds kSlowRequestAge{600};
+
+// Close priorities, lowest first.
+constexpr int kKeep = 0;
+constexpr int kRecentlyIdle = 1;
 constexpr int kSlowRequest = 2;
-constexpr int kSilentSoFar = 3;
-constexpr int kRestedLong = 4;
-constexpr int kDoneWith = 5;
+constexpr int kSilent = 3;
+constexpr int kLongIdle = 4;
+constexpr int kDraining = 5;
 
 }  // namespace
 
-// Those that have had their last answer go first, then the one that stood longest between requests (its
-// client sends again on a new one), then the one silent longest since it connected, then the one slowest with
-// its request. Where usual clients connect anew for each message and stay, none has rested yet: a newcomer's
-// request is worth more than any connection between requests, so the one used longest ago goes then. None
-// goes whose request has come whole, and none so young that a usual client might still be at it.
+// Order of closing: connections whose last response has been written; then those idle longest, since their
+// clients reconnect for the next request; then those silent longest since connecting; then those slowest to
+// send their request. Where clients open a connection per message and keep it, none is idle for long yet: a
+// new client's request matters more than any idle connection, so the one idle longest is closed. Never closed
+// are connections with a complete request and those too young to tell from a normal client.
 int closePriority(ConnectionPhase phase, std::chrono::nanoseconds age, bool askedToClose) {
-    if (askedToClose) return kStays;
+    if (askedToClose) return kKeep;
     switch (phase) {
-        case ConnectionPhase::draining: return kDoneWith;
-        case ConnectionPhase::idle: return age >= kRested ? kRestedLong : kIdleOfLate;
-        case ConnectionPhase::fresh: return age >= kSilent ? kSilentSoFar : kStays;
-        case ConnectionPhase::reading: return age >= kSlow ? kSlowRequest : kStays;
+        case ConnectionPhase::draining: return kDraining;
+        case ConnectionPhase::idle: return age >= kLongIdleAge ? kLongIdle : kRecentlyIdle;
+        case ConnectionPhase::fresh: return age >= kSilentAge ? kSilent : kKeep;
+        case ConnectionPhase::reading: return age >= kSlowRequestAge ? kSlowRequest : kKeep;
         case ConnectionPhase::answering:
         case ConnectionPhase::closed: break;
     }
-    return kStays;
+    return kKeep;
 }
 
-bool mayClose(int rank, CloseScope least) {
-    return rank >= (least == CloseScope::longIdle ? kRestedLong : kIdleOfLate);
+bool mayClose(int priority, CloseScope scope) {
+    return priority >= (scope == CloseScope::longIdle ? kLongIdle : kRecentlyIdle);
 }
 
-// Danger: a length that is too short leaves the rest of the body where the next request would begin, and
-// whoever wrote that body chose it. Clients send one request at a time, so bytes behind it are no request.
-// Danger: where room is short, or at a stop, we end a connection's reading ourselves. A request may have come
-// whole before that while its thread had no turn on a busy core; its client is still there, and would get no
-// answer at all.
-// Danger: a client may end its sending behind a request and wait for the answer. It can't be told from one
-// that has given up, whose message would be delivered for nothing; so it is asked to come again.
-RequestDisposition requestDisposition(std::size_t leftover, net::Unread behind, bool askedToClose) {
-    if (leftover > 0 || behind == net::Unread::bytes) return RequestDisposition::rejectTrailingBytes;
-    if (behind == net::Unread::broken) return RequestDisposition::drop;
-    return behind == net::Unread::end && !askedToClose ? RequestDisposition::askToRetry
+// Trailing bytes: if the request gives a length that is too short, the rest of the body, which the sender of
+// the body controls, stands where the next request would begin (request smuggling). Clients send one request
+// at a time, so bytes after it are never taken for another request.
+//
+// Reading ended by this side, for lack of room or at a stop: the request may have been received completely
+// before that, while its thread got no time on a busy core. The client still waits, so it is answered.
+//
+// Sending ended by the client: it may still wait for the answer, but can't be distinguished from one that has
+// given up, whose message would be delivered for nothing. So it is asked to retry.
+RequestDisposition requestDisposition(std::size_t leftover, net::Unread unread, bool askedToClose) {
+    if (leftover > 0 || unread == net::Unread::bytes) return RequestDisposition::rejectTrailingBytes;
+    if (unread == net::Unread::broken) return RequestDisposition::drop;
+    return unread == net::Unread::end && !askedToClose ? RequestDisposition::askToRetry
                                                        : RequestDisposition::answer;
 }
 
--- a/src/rules/connection_rules.hpp
+++ b/src/rules/connection_rules.hpp
@@ -1,5 +1,5 @@
-// The one place that decides what becomes of a client's connection: which may be closed to make room, and
-// whether a request that has come whole is answered. Pure: facts in, a decision out.
+// Decisions about client connections: which ones may be closed to make room, and what to do with a request
+// once it has been received completely. Pure functions without state; safe to call from any thread.
 #pragma once
 
 #include <chrono>
@@ -9,34 +9,34 @@
 
 namespace laurelhaven::rules {
 
-/// What a connection is at.
+/// State of a client connection.
 enum class ConnectionPhase {
-    fresh,      ///< nothing has come yet
-    reading,    ///< in the middle of a request
-    answering,  ///< a request has come whole
+    fresh,      ///< connected, nothing received yet
+    reading,    ///< part of a request has been received
+    answering,  ///< a complete request has been received
     idle,       ///< between requests
-    draining,   ///< its last answer is written, and what still comes is dropped
+    draining,   ///< the last response has been written; further input is discarded
     closed
 };
 
-/// How much room is worth: what is done with goes first.
+/// Which connections may be closed: only draining and long idle ones, or any with a priority above 0.
 enum class CloseScope { longIdle, all };
 
-/// How soon a connection may be closed to make room for others: 0 not at all, the highest number first.
-/// Clients that open connections and send nothing, or half a request, would take them all.
+/// How soon a connection may be closed to make room for others: 0 means never, the highest number goes first.
+/// Without this, clients that connect and send nothing, or half a request, would occupy all connections.
 int closePriority(ConnectionPhase phase, std::chrono::nanoseconds age, bool askedToClose);
-/// May a connection of that rank go now?
-bool mayClose(int rank, CloseScope least);
+/// Returns whether a connection with this close priority may be closed now.
+bool mayClose(int priority, CloseScope scope);
 
-/// What becomes of a request that has come whole.
+/// What to do with a request that has been received completely.
 enum class RequestDisposition {
     answer,
-    rejectTrailingBytes,  ///< more came than one request
-    askToRetry,           ///< its client has ended its sending, and may have given up
-    drop                  ///< the connection is gone: nobody would hear an answer
+    rejectTrailingBytes,  ///< there are bytes after the request
+    askToRetry,           ///< the client has ended its sending and may have given up
+    drop                  ///< the connection is broken: a response would reach nobody
 };
-/// `leftover`: bytes read behind it. `behind`: what the connection holds now. `askedToClose`: we ended its
-/// reading.
-RequestDisposition requestDisposition(std::size_t leftover, net::Unread behind, bool askedToClose);
+/// `leftover`: number of bytes read after the request. `unread`: what the socket holds now. `askedToClose`:
+/// this side has ended reading on the connection.
+RequestDisposition requestDisposition(std::size_t leftover, net::Unread unread, bool askedToClose);
 
 }  // namespace laurelhaven::rules
--- a/src/rules/repeat_rules.cpp
+++ b/src/rules/repeat_rules.cpp
@@ -4,12 +4,12 @@
 
 namespace laurelhaven::rules {
 
-stoathub::Effect effectAfterRestart(stoathub::Effect then, stoathub::Effect now, bool hasKey) {
+stoathub::Effect effectAfterRestart(stoathub::Effect recorded, stoathub::Effect configured, bool hasKey) {
     using stoathub::Effect;
-    const auto stricter = std::max(then, now);
-    if (stricter != Effect::keyed) return then;
-    const bool keyIsOfUse = hasKey && now == Effect::keyed;
-    return keyIsOfUse ? then : Effect::unsafe;
+    const auto stricter = std::max(recorded, configured);
+    if (stricter != Effect::keyed) return recorded;
+    const bool keyIsUsable = hasKey && configured == Effect::keyed;
+    return keyIsUsable ? recorded : Effect::unsafe;
 }
 
 }  // namespace laurelhaven::rules
--- a/src/rules/send_rules.cpp
+++ b/src/rules/send_rules.cpp
@@ -8,12 +8,14 @@
 namespace laurelhaven::rules {
 namespace {
 
-// What a partner had in the pipe when it told a wait is let through.
+// Attempts that were in flight when a destination announced a wait are not violations.
 constexpr milliseconds kInFlightAllowance{100};
-// Between the check and the first byte a process may be held up by so much.
+// Time that the process may be descheduled between the check and the first byte.
 constexpr milliseconds kSchedulingAllowance{150};
+// How long an endpoint off the list is remembered after it stopped serving, to detect attempts sent to it.
 constexpr std::chrono::seconds kNotServingMemory{60};
 
+/// The delay for the detail of a violation, as "12 ms after".
 std::string delayText(TimePoint at, TimePoint since) {
     return std::to_string(std::chrono::duration_cast<milliseconds>(at - since).count()) + " ms after";
 }
@@ -53,8 +55,8 @@
 
 void SendRules::extendWait(std::uint64_t destination, TimePoint until, TimePoint now) {
     const std::lock_guard lock(mutex_);
-    const auto [it, fresh] = waits_.try_emplace(destination, Wait{now, until});
-    if (fresh || it->second.until <= now) it->second = {now, until};
+    const auto [it, added] = waits_.try_emplace(destination, Wait{now, until});
+    if (added || it->second.until <= now) it->second = {now, until};
     else it->second.until = std::max(it->second.until, until);
 }
 
@@ -105,16 +107,16 @@
     const std::lock_guard lock(mutex_);
     const auto subject = attempt.message + " to " + attempt.endpoint;
     if (!openAttempts_.count(attempt.message))
-        violations_.count(Rule::record, subject, "sent, and not on record");
+        violations_.count(Rule::record, subject, "sent without a journal record");
     if (attempt.number > limits_.maxAttempts)
         violations_.count(Rule::attempts, subject, "attempt " + std::to_string(attempt.number));
     if (at >= attempt.deadline + kSchedulingAllowance)
         violations_.count(Rule::deadline, subject, delayText(at, attempt.deadline));
     if (attempt.keyWindowEnd != TimePoint::max() && at >= attempt.keyWindowEnd + kSchedulingAllowance)
         violations_.count(Rule::keyWindow, subject, delayText(at, attempt.keyWindowEnd));
-    const auto ended = notServingSince_.find(attempt.endpoint);
-    if (ended != notServingSince_.end() && at >= ended->second + limits_.drainGrace)
-        violations_.count(Rule::drain, subject, delayText(at, ended->second));
+    const auto stopped = notServingSince_.find(attempt.endpoint);
+    if (stopped != notServingSince_.end() && at >= stopped->second + limits_.drainGrace)
+        violations_.count(Rule::drain, subject, delayText(at, stopped->second));
     const auto wait = waits_.find(attempt.destination);
     if (wait != waits_.end() && at < wait->second.until &&
         at >= wait->second.announcedAt + kInFlightAllowance)
--- a/src/rules/send_rules.hpp
+++ b/src/rules/send_rules.hpp
@@ -1,10 +1,10 @@
-// The one place that decides whether an attempt may begin now: it knows which endpoints serve, which
-// destinations told a wait and which attempts are open, from the moment at which that was heard.
+// Decides whether an attempt may begin now. Knows which endpoints serve, which destinations have announced a
+// wait and which attempts are open, each from the time at which that was reported.
 //
-// It has a lock of its own, held for a few instructions. What an answer or discovery tells is noted here
-// before anything waits for the facade, whose lock may be held for long where the processor is short; so no
-// attempt slips in between hearing and acting. Afterwards each attempt that was sent is held against the
-// rules, and what does not fit is counted.
+// Safe for use by several threads: it has a mutex of its own, held for a few instructions. Reports by
+// responses and by discovery are entered here before anything waits for the lock of decisions::Decisions,
+// which can be held for long on a busy processor; so no attempt begins between a report and its processing.
+// After an attempt has been sent it is checked against the rules once more, and violations are counted.
 #pragma once
 
 #include <chrono>
@@ -23,20 +23,21 @@
 using TimePoint = Steady::time_point;
 using std::chrono::milliseconds;
 
-/// An endpoint as the list has it.
+/// An endpoint of the current list of endpoints.
 struct Endpoint {
     std::string address;
     std::uint64_t destination = 0;
     bool serving = false;
 };
 
-/// What an attempt is about to do.
+/// An attempt that is about to begin.
 struct Attempt {
-    std::string message, endpoint, address;
+    std::string message;  ///< id of the message
+    std::string endpoint, address;
     std::uint64_t destination = 0;
-    int number = 0;          ///< from 1 on
-    TimePoint deadline;      ///< its answer is not waited for any longer
-    TimePoint keyWindowEnd;  ///< the end of its key's window, where it is a repeat by key
+    int number = 0;          ///< counted from 1 for each message
+    TimePoint deadline;      ///< when waiting for the response ends
+    TimePoint keyWindowEnd;  ///< end of the key window if this is a repeat by key, else TimePoint::max()
 };
 
 /// Why an attempt may not begin.
@@ -50,38 +51,46 @@
     waitAnnounced,
     alreadyOpen
 };
+/// The name used in logs and metrics.
 std::string_view name(Refusal refusal);
 
+/// Limits on attempts, from the configuration.
 struct Limits {
-    milliseconds drainGrace{250};  ///< after which nothing new may go to an endpoint that was told to end
-    int maxAttempts = 8;           ///< for one message
+    milliseconds drainGrace{250};  ///< time within which new attempts to a draining endpoint must stop
+    int maxAttempts = 8;           ///< per message
 };
 
+/// Keeps what was reported and decides about attempts; see the head of this file.
 class SendRules {
   public:
     SendRules(const Limits& limits, Violations& violations) : limits_(limits), violations_(violations) {}
 
-    // -- what has been told --
+    // -- reported state --
+    /// Adds or replaces the endpoint with this name.
     void setEndpoint(const std::string& name, const Endpoint& endpoint);
-    /// It drains, or has gone: nothing new may begin there from now on.
+    /// The endpoint is draining or gone: no attempt may begin there from now on.
     void markNotServing(const std::string& name, TimePoint now);
+    /// The endpoint is no longer on the list.
     void removeEndpoint(const std::string& name, TimePoint now);
-    /// Nothing may go to the destination until then. The later of two waits holds.
+    /// The destination has announced a wait: no attempt to it may begin before `until`. A shorter wait does
+    /// not replace a longer one that is still running.
     void extendWait(std::uint64_t destination, TimePoint until, TimePoint now);
-    /// The end of the wait that the destination told last; in the past where there is none.
+    /// The end of the destination's announced wait; a time in the past if there is none.
     TimePoint waitUntil(std::uint64_t destination) const;
-    /// Drops waits that are over and endpoints that ended long ago.
+    /// Removes waits that are over, and endpoints off the list that stopped serving more than 60 s ago.
     void pruneExpired(TimePoint now);
 
-    // -- deciding --
+    // -- decisions --
+    /// Checks an attempt without opening it: before it begins, or again while it is open.
     Refusal check(const Attempt& attempt, TimePoint now) const;
-    /// Checks, and opens the attempt where nothing speaks against it.
+    /// Checks the attempt, and opens it if it may begin. A message with an open attempt gets no second one.
     Refusal begin(const Attempt& attempt, TimePoint now);
-    /// It has been written, its first byte at that moment: that is held against the rules.
+    /// The attempt has been written, its first byte at time `at`. Counts each rule that this violates.
     void sent(const Attempt& attempt, TimePoint at);
-    /// The attempt has its outcome, or never left.
+    /// The open attempt of this message has an outcome, or was not sent.
     void end(const std::string& message);
 
+    /// Number of announced waits held in memory.
     std::size_t waitCount() const;
 
   private:
@@ -94,10 +103,10 @@
     Violations& violations_;
     mutable std::mutex mutex_;
     std::unordered_map<std::string, Endpoint> endpoints_;
-    std::unordered_map<std::string, TimePoint>
-        notServingSince_;                           ///< endpoints that drain or have gone, since when
+    /// Endpoints that are draining or gone, and since when.
+    std::unordered_map<std::string, TimePoint> notServingSince_;
     std::map<std::uint64_t, Wait> waits_;           ///< by destination
-    std::unordered_set<std::string> openAttempts_;  ///< messages with an attempt that has no outcome
+    std::unordered_set<std::string> openAttempts_;  ///< ids of messages with an attempt without outcome
 };
 
 }  // namespace laurelhaven::rules
--- a/src/rules/violations.cpp
+++ b/src/rules/violations.cpp
@@ -22,7 +22,7 @@
 
 std::uint64_t Violations::total() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0},
-                           [](std::uint64_t sum, const auto& one) { return sum + one.load(); });
+                           [](std::uint64_t sum, const auto& count) { return sum + count.load(); });
 }
 
 }  // namespace laurelhaven::rules
--- a/src/rules/violations.hpp
+++ b/src/rules/violations.hpp
@@ -1,6 +1,6 @@
-// The rules that a sender keeps towards its partners, clients and platform, and a count of the times that
-// one was seen broken while running. Nothing is decided here: whoever acts checks the act afterwards, and
-// what does not hold is counted and logged. A count above zero is a fault of the program.
+// The rules that a sender keeps towards endpoints, clients and the platform, and counters of violations seen
+// at run time. Nothing is decided here: the code that acts checks the result afterwards, and counts and logs
+// each rule that was violated. A count above zero is a fault of the program.
 #pragma once
 
 #include <array>
@@ -11,27 +11,30 @@
 
 namespace laurelhaven::rules {
 
+/// A rule, named as in logs and metrics by name().
 enum class Rule {
-    drain,        ///< nothing new to an endpoint past the drain grace
-    wait,         ///< nothing to a destination during a wait that it told
-    overlap,      ///< no two attempts of one message at once
-    attempts,     ///< no more attempts than the settings allow
-    record,       ///< no first byte without its attempt on record
-    deadline,     ///< no call begins after its message's deadline
-    keyWindow,    ///< no repeat outside its key's window
-    finalAnswer,  ///< one end for each message that was taken on
-    lateEnd,      ///< and that in time
-    ownOutcome    ///< an outcome or an end is recorded only for the very attempt or message that it is of
+    drain,        ///< no new attempt to an endpoint after the drain grace
+    wait,         ///< no attempt to a destination during a wait that it announced
+    overlap,      ///< no two attempts of one message at the same time
+    attempts,     ///< no more attempts of one message than configured
+    record,       ///< no first byte of an attempt before the attempt is in the journal
+    deadline,     ///< no attempt begins after its message's deadline
+    keyWindow,    ///< no repeat outside the key window
+    finalAnswer,  ///< exactly one end for each accepted message
+    lateEnd,      ///< each end in time
+    ownOutcome    ///< an outcome or an end is recorded only for the attempt or message it belongs to
 };
 constexpr std::size_t kRuleCount = 10;
+/// The name used in logs and metrics.
 std::string_view name(Rule rule);
 
-/// Counts violations. Safe for use by several threads.
+/// Counters of violations. Safe for use by several threads.
 class Violations {
   public:
-    /// Counts one, and logs it with what it concerns.
+    /// Counts one violation and logs it. `subject`: the message or attempt concerned.
     void count(Rule rule, std::string_view subject, std::string_view detail);
     std::uint64_t countOf(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
+    /// The sum over all rules.
     std::uint64_t total() const;
 
   private:
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -1,5 +1,5 @@
-// The rules in one place: what may be sent, repeated and closed, and what is counted when it was done all the
-// same.
+// The rules: which attempts may begin, which messages may be repeated, which connections may be closed, and
+// which violations are counted.
 #include <gtest/gtest.h>
 
 #include "log/log.hpp"
@@ -28,7 +28,7 @@
     SendRules rules_{{milliseconds(250), 3}, violations_};
 };
 
-TEST_F(SendRulesTest, LetsAnAttemptBeginOnce) {
+TEST_F(SendRulesTest, RefusesASecondAttemptWhileOneIsOpen) {
     EXPECT_EQ(rules_.begin(attempt(), now_), Refusal::none);
     rules_.sent(attempt(), now_ + milliseconds(1));
     EXPECT_EQ(violations_.total(), 0u);
@@ -38,7 +38,7 @@
     EXPECT_EQ(rules_.begin(attempt(), now_), Refusal::none);
 }
 
-TEST_F(SendRulesTest, RefusesWhatTheListAndTimesForbid) {
+TEST_F(SendRulesTest, RefusesAttemptsOutsideListOrTimeLimits) {
     auto other = attempt();
     other.endpoint = "unknown";
     EXPECT_EQ(rules_.check(other, now_), Refusal::endpointNotListed);
@@ -58,7 +58,7 @@
     EXPECT_EQ(rules_.check(attempt(), now_), Refusal::none);
 }
 
-TEST_F(SendRulesTest, TheLaterOfTwoWaitsHolds) {
+TEST_F(SendRulesTest, LaterOfTwoAnnouncedWaitsApplies) {
     rules_.extendWait(7, now_ + seconds(2), now_);
     rules_.extendWait(7, now_ + seconds(1), now_);
     EXPECT_EQ(rules_.check(attempt(), now_ + milliseconds(1500)), Refusal::waitAnnounced);
@@ -67,13 +67,14 @@
     EXPECT_EQ(rules_.waitCount(), 0u);
 }
 
-TEST_F(SendRulesTest, CountsWhatWasSentAgainstARule) {
-    rules_.sent(attempt("nobody began it"), now_);
+TEST_F(SendRulesTest, CountsEachRuleThatASentAttemptViolates) {
+    rules_.sent(attempt("never begun"), now_);
     EXPECT_EQ(violations_.countOf(Rule::record), 1u);
     EXPECT_EQ(rules_.begin(attempt(), now_), Refusal::none);
     rules_.extendWait(7, now_ + seconds(5), now_);
     rules_.sent(attempt(), now_ + milliseconds(99));
-    EXPECT_EQ(violations_.countOf(Rule::wait), 0u) << "what was on its way is let through";
+    EXPECT_EQ(violations_.countOf(Rule::wait), 0u)
+        << "attempts in flight when the wait was announced are no violation";
     rules_.sent(attempt(), now_ + milliseconds(101));
     EXPECT_EQ(violations_.countOf(Rule::wait), 1u);
     rules_.markNotServing("e", now_);
@@ -93,35 +94,37 @@
               std::string::npos);
 }
 
-TEST(RepeatRules, TheStricterOfThenAndNowCounts) {
+TEST(RepeatRules, StricterOfRecordedAndConfiguredEffectApplies) {
     using stoathub::Effect;
-    const auto counts = [](Effect then, Effect now, bool key) {
-        return std::max(effectAfterRestart(then, now, key), now);
+    const auto applied = [](Effect recorded, Effect configured, bool hasKey) {
+        return std::max(effectAfterRestart(recorded, configured, hasKey), configured);
     };
-    EXPECT_EQ(counts(Effect::pure, Effect::pure, false), Effect::pure);
-    EXPECT_EQ(counts(Effect::keyed, Effect::keyed, true), Effect::keyed);
-    EXPECT_EQ(counts(Effect::keyed, Effect::keyed, false), Effect::unsafe);
-    EXPECT_EQ(counts(Effect::keyed, Effect::pure, true), Effect::unsafe)
-        << "nobody tells the window any more";
-    EXPECT_EQ(counts(Effect::pure, Effect::unsafe, true), Effect::unsafe);
-    EXPECT_EQ(counts(Effect::unsafe, Effect::pure, true), Effect::unsafe);
+    EXPECT_EQ(applied(Effect::pure, Effect::pure, false), Effect::pure);
+    EXPECT_EQ(applied(Effect::keyed, Effect::keyed, true), Effect::keyed);
+    EXPECT_EQ(applied(Effect::keyed, Effect::keyed, false), Effect::unsafe);
+    EXPECT_EQ(applied(Effect::keyed, Effect::pure, true), Effect::unsafe)
+        << "the key window is no longer configured";
+    EXPECT_EQ(applied(Effect::pure, Effect::unsafe, true), Effect::unsafe);
+    EXPECT_EQ(applied(Effect::unsafe, Effect::pure, true), Effect::unsafe);
 }
 
-TEST(ConnectionRules, WhatIsDoneWithGoesFirstAndARequestNever) {
-    using P = ConnectionPhase;
-    const auto rank = [](P phase, int ms) { return closePriority(phase, milliseconds(ms), false); };
-    EXPECT_GT(rank(P::draining, 0), rank(P::idle, 2000));
-    EXPECT_GT(rank(P::idle, 2000), rank(P::fresh, 300));
-    EXPECT_GT(rank(P::fresh, 300), rank(P::reading, 600));
-    EXPECT_GT(rank(P::reading, 600), rank(P::idle, 1999));
-    for (const auto phase : {P::answering, P::closed})
-        EXPECT_FALSE(mayClose(rank(phase, 9999), CloseScope::all));
-    EXPECT_FALSE(mayClose(rank(P::fresh, 299), CloseScope::all));
-    EXPECT_FALSE(mayClose(rank(P::reading, 599), CloseScope::all));
-    EXPECT_FALSE(mayClose(closePriority(P::idle, seconds(9), true), CloseScope::all))
-        << "it is going already";
-    EXPECT_TRUE(mayClose(rank(P::idle, 2000), CloseScope::longIdle));
-    EXPECT_FALSE(mayClose(rank(P::fresh, 300), CloseScope::longIdle));
+TEST(ConnectionRules, DrainingConnectionsCloseFirstAndAnsweringOnesNever) {
+    using Phase = ConnectionPhase;
+    const auto priority = [](Phase phase, int ageMs) {
+        return closePriority(phase, milliseconds(ageMs), false);
+    };
+    EXPECT_GT(priority(Phase::draining, 0), priority(Phase::idle, 2000));
+    EXPECT_GT(priority(Phase::idle, 2000), priority(Phase::fresh, 300));
+    EXPECT_GT(priority(Phase::fresh, 300), priority(Phase::reading, 600));
+    EXPECT_GT(priority(Phase::reading, 600), priority(Phase::idle, 1999));
+    for (const auto phase : {Phase::answering, Phase::closed})
+        EXPECT_FALSE(mayClose(priority(phase, 9999), CloseScope::all));
+    EXPECT_FALSE(mayClose(priority(Phase::fresh, 299), CloseScope::all));
+    EXPECT_FALSE(mayClose(priority(Phase::reading, 599), CloseScope::all));
+    EXPECT_FALSE(mayClose(closePriority(Phase::idle, seconds(9), true), CloseScope::all))
+        << "it has been asked to close already";
+    EXPECT_TRUE(mayClose(priority(Phase::idle, 2000), CloseScope::longIdle));
+    EXPECT_FALSE(mayClose(priority(Phase::fresh, 300), CloseScope::longIdle));
 }
 
 }  // namespace
