--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -12,16 +12,17 @@
 
 struct Registry {
     std::mutex mutex;
-    std::map<std::string, std::unique_ptr<Counter>, std::less<>> counters;  // by name and label
+    std::map<std::string, std::unique_ptr<Counter>, std::less<>> counters;  // key: prefixed name and label
     std::map<std::string, std::function<double()>, std::less<>> gauges;
 };
 
 Registry& registry() {
-    static Registry all;
-    return all;
+    static Registry instance;
+    return instance;
 }
 
-std::string_view family(std::string_view series) { return series.substr(0, series.find('{')); }
+/// The part of a series before its label: the name of the metric.
+std::string_view metricName(std::string_view series) { return series.substr(0, series.find('{')); }
 
 }  // namespace
 
@@ -29,36 +30,36 @@
     std::string series(kPrefix);
     series.append(name);
     if (!label.empty()) series.append("{").append(label).append("=\"").append(value).append("\"}");
-    Registry& all = registry();
-    const std::lock_guard lock(all.mutex);
-    auto& found = all.counters[series];
-    if (!found) found = std::make_unique<Counter>();
-    return *found;
+    Registry& registered = registry();
+    const std::lock_guard lock(registered.mutex);
+    auto& entry = registered.counters[series];
+    if (!entry) entry = std::make_unique<Counter>();
+    return *entry;
 }
 
 void setGauge(std::string_view name, std::function<double()> read) {
-    Registry& all = registry();
-    const std::lock_guard lock(all.mutex);
+    Registry& registered = registry();
+    const std::lock_guard lock(registered.mutex);
     const auto key = std::string(kPrefix) + std::string(name);
-    if (read) all.gauges[key] = std::move(read);
-    else all.gauges.erase(key);
+    if (read) registered.gauges[key] = std::move(read);
+    else registered.gauges.erase(key);
 }
 
-// Danger: a gauge takes the lock of its owner, who counts under that very lock. Read with the counters
-// locked, the two would wait for each other for good.
+// Gauges are read after the registry's mutex has been released: a gauge locks its owner's mutex, and owners
+// create counters while holding that mutex, so reading under the registry's mutex could deadlock.
 std::string renderText() {
     std::ostringstream out;
-    Registry& all = registry();
+    Registry& registered = registry();
     std::map<std::string, std::function<double()>, std::less<>> gauges;
     {
-        const std::lock_guard lock(all.mutex);
-        std::string_view last;
-        for (const auto& [series, counter] : all.counters) {
-            if (family(series) != last) out << "# TYPE " << family(series) << " counter\n";
-            last = family(series);
+        const std::lock_guard lock(registered.mutex);
+        std::string_view previousName;
+        for (const auto& [series, counter] : registered.counters) {
+            if (metricName(series) != previousName) out << "# TYPE " << metricName(series) << " counter\n";
+            previousName = metricName(series);
             out << series << ' ' << counter->value() << '\n';
         }
-        gauges = all.gauges;
+        gauges = registered.gauges;
     }
     for (const auto& [name, read] : gauges)
         out << "# TYPE " << name << " gauge\n" << name << ' ' << read() << '\n';
--- a/tests/metrics/metrics_test.cpp
+++ b/tests/metrics/metrics_test.cpp
@@ -1,4 +1,4 @@
-// Metrics are read while whoever counts goes on: nobody waits for the other in a circle.
+// Rendering metrics does not deadlock with threads that count.
 #include "metrics/metrics.hpp"
 
 #include <gtest/gtest.h>
@@ -11,9 +11,9 @@
 
 using namespace laurelhaven;
 
-// Danger: a gauge is read under the lock of whoever owns it, and its owner counts under the same lock. Where
-// the reader keeps the counters locked meanwhile, the two wait for each other for good.
-TEST(Metrics, ACounterCanBeHadWhileAGaugeIsRead) {
+// A gauge locks its owner's mutex, and the owner creates counters while holding that mutex. If the registry
+// stayed locked while gauges are read, the two threads would deadlock.
+TEST(Metrics, CounterIsAvailableWhileGaugeIsRead) {
     std::mutex mutex;
     std::condition_variable changed;
     bool counted = false, inTime = false;
@@ -32,7 +32,7 @@
     const auto text = metrics::renderText();
     owner.join();
     metrics::setGauge("test_gauge", {});
-    EXPECT_TRUE(inTime) << "whoever counts waits until the gauge has been read";
+    EXPECT_TRUE(inTime) << "the counter was not available until the gauge had been read";
     EXPECT_NE(text.find("laurelhaven_test_gauge 1\n"), std::string::npos);
 }
 
