--- a/src/decisions/decisions.cpp
+++ b/src/decisions/decisions.cpp
@@ -21,19 +21,22 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kLate{50};
-constexpr milliseconds kLateEnd{300};         // an end is late so long after its message's time
-constexpr milliseconds kFlush{20};            // between tries to write what the store could not
-constexpr milliseconds kTellUnrecorded{150};  // an end that the store can't write is told so long after it
-constexpr std::chrono::seconds kDestinations{60};  // so long a destination without endpoints stays one
+constexpr milliseconds kLateWakeUp{50};  // a wake-up that is later is logged
+// An end decided more than this after the message's deadline violates the rule late_end.
+constexpr milliseconds kLateEnd{300};
+constexpr milliseconds kRecordRetryInterval{20};  // between attempts to write records the store could not
+// An end that the store can't write is reported to the platform after this time all the same.
+constexpr milliseconds kUnrecordedEndDelay{150};
+// A destination without listed endpoints still accepts messages for this long.
+constexpr std::chrono::seconds kUnlistedRetention{60};
 
 stoathub::Time moduleTime(TimePoint at) {
     return stoathub::Time(std::chrono::duration_cast<stoathub::Duration>(at.time_since_epoch()));
 }
-TimePoint moment(stoathub::Time at) {
+TimePoint steadyTime(stoathub::Time at) {
     return TimePoint(std::chrono::duration_cast<Steady::duration>(at.time_since_epoch()));
 }
-milliseconds wholeMs(stoathub::Duration span) { return std::chrono::ceil<milliseconds>(span); }
+milliseconds ceilMs(stoathub::Duration span) { return std::chrono::ceil<milliseconds>(span); }
 
 stoathub::Result moduleResult(AttemptStatus status) {
     switch (status) {
@@ -63,21 +66,21 @@
     return {SubmissionResult::Kind::refused, after};
 }
 
-/// A line for each that may have run, as its repeats have to keep rules over several lives; the others are
-/// counted, and told at level debug.
-void logFound(const store::StoredMessage& message, const FoundMessage& found) {
-    metrics::counter("found_messages_total", "state", name(found.state)).add();
-    const bool lost = found.state == FoundState::unknownClass;
-    auto line = lost ? log::error() : found.mayHaveRun ? log::info() : log::debug();
-    (line << "found a message of an earlier life")
+/// Messages that may have run are logged at level info, as their repeats are subject to rules that span
+/// restarts. The others are only counted, and logged at level debug.
+void logRecovered(const store::StoredMessage& message, const RecoveredMessage& recovered) {
+    metrics::counter("found_messages_total", "state", name(recovered.state)).add();
+    const bool lost = recovered.state == RecoveryState::unknownClass;
+    auto line = lost ? log::error() : recovered.mayHaveRun ? log::info() : log::debug();
+    (line << "recovered a message of a previous run")
         .kv("id", message.id)
-        .kv("state", name(found.state))
+        .kv("state", name(recovered.state))
         .kv("destination", message.destination)
         .kv("class", message.messageClass)
         .kv("attempts", message.attempts.attemptCount())
         .kv("failures", message.attempts.failures())
-        .kv("left_ms", found.left.count());
-    if (found.mayHaveRun) line.kv("may_have_run_ms_ago", found.sinceRan.count());
+        .kv("left_ms", recovered.timeLeft.count());
+    if (recovered.mayHaveRun) line.kv("may_have_run_ms_ago", recovered.sinceMayHaveRun.count());
 }
 
 }  // namespace
@@ -98,127 +101,130 @@
       sendRules_({config.drainGrace, config.settings.maxAttempts}, violations_),
       recorder_(store, recordClock, violations_) {}
 
-// ---- pick ----
+// ---- attempts ----
 
 std::optional<DueAttempt> Decisions::takeDueAttempt() {
     std::unique_lock lock(mutex_);
-    due_.wait(lock, [this] { return !picking_ || !calls_.empty(); });
-    if (!picking_) return {};
-    DueAttempt call = std::move(calls_.front());
-    calls_.pop_front();
-    return call;
+    attemptDue_.wait(lock, [this] { return !dispatching_ || !dueAttempts_.empty(); });
+    if (!dispatching_) return {};
+    DueAttempt due = std::move(dueAttempts_.front());
+    dueAttempts_.pop_front();
+    return due;
 }
 
-rules::Attempt Decisions::attemptOf(const DueAttempt& call) const {
-    return {call.id,          call.endpoint, call.address, call.destination,
-            call.attempt + 1, call.tryUntil, call.startBy};
+rules::Attempt Decisions::rulesAttempt(const DueAttempt& due) const {
+    return {due.id, due.endpoint, due.address, due.destination, due.attempt + 1, due.tryUntil, due.startBy};
 }
 
-bool Decisions::holds(const Held& held, const DueAttempt& call) const {
-    return !held.over && held.out && held.attempts == call.attempt + 1 && !held.cancel.stop_requested();
+bool Decisions::isCurrent(const HeldMessage& held, const DueAttempt& due) const {
+    return !held.ended && held.inFlight && held.attempts == due.attempt + 1 &&
+           !held.cancelSource.stop_requested();
 }
 
-// Between the decision and the first byte lies a connect of up to a second. Meanwhile the partner may have
-// told another call to wait, the endpoint may be draining or gone, or the message over. Danger: the receivers
-// may forget its key meanwhile, and a repeat would take effect twice.
-bool Decisions::tryBeginAttempt(const DueAttempt& call) {
+// Between the decision and the first byte a connect may take up to a second. Meanwhile the destination may
+// have announced a wait in its answer to another attempt, the endpoint may be draining or gone, or the
+// message may have ended. The key window may have passed as well, and a repeat would then take effect twice.
+bool Decisions::tryBeginAttempt(const DueAttempt& due) {
     const std::lock_guard lock(mutex_);
-    if (stopped_ || !picking_) return false;
-    const auto it = held_.find(call.id);
-    if (it == held_.end() || !holds(it->second, call)) return false;
-    Held& held = it->second;
-    const auto attempt = attemptOf(call);
-    if (held.attempt) return sendRules_.check(attempt, Steady::now()) == rules::Refusal::none;
+    if (stopped_ || !dispatching_) return false;
+    const auto it = heldMessages_.find(due.id);
+    if (it == heldMessages_.end() || !isCurrent(it->second, due)) return false;
+    HeldMessage& held = it->second;
+    const auto attempt = rulesAttempt(due);
+    if (held.openAttempt) return sendRules_.check(attempt, Steady::now()) == rules::Refusal::none;
     const auto refusal = sendRules_.begin(attempt, Steady::now());
     if (refusal != rules::Refusal::none) {
         (log::debug() << "attempt refused")
-            .kv("id", call.id)
-            .kv("call", call.attempt + 1)
-            .kv("endpoint", call.endpoint)
+            .kv("id", due.id)
+            .kv("call", due.attempt + 1)
+            .kv("endpoint", due.endpoint)
             .kv("reason", rules::name(refusal));
         return false;
     }
-    held.attempt = recorder_.begin(call.id);
-    // The record may have taken its time.
-    if (held.attempt && sendRules_.check(attempt, Steady::now()) == rules::Refusal::none) {
-        logBegun(held, call);
+    held.openAttempt = recorder_.beginAttempt(due.id);
+    // Writing the record may have taken a while, so the rules are checked again.
+    if (held.openAttempt && sendRules_.check(attempt, Steady::now()) == rules::Refusal::none) {
+        logAttemptBegin(held, due);
         return true;
     }
-    takeBack(held, call.id);
+    undoBegin(held, due.id);
     return false;
 }
 
-/// Repeats over a restart are told at level info, as they have to keep rules over several lives.
-void Decisions::logBegun(const Held& held, const DueAttempt& call) {
-    const char* kind = held.mayHaveRunSince ? "repeat" : call.attempt > 0 ? "retry" : "first";
+/// Repeats of messages from a previous run are logged at level info, as they are subject to rules that span
+/// restarts.
+void Decisions::logAttemptBegin(const HeldMessage& held, const DueAttempt& due) {
+    const char* kind = held.mayHaveRunSince ? "repeat" : due.attempt > 0 ? "retry" : "first";
     metrics::counter("attempts_total", "kind", kind).add();
-    auto line = held.found && held.mayHaveRunSince ? log::info() : log::debug();
+    auto line = held.recovered && held.mayHaveRunSince ? log::info() : log::debug();
     (line << "attempt begins")
-        .kv("id", call.id)
-        .kv("call", call.attempt + 1)
+        .kv("id", due.id)
+        .kv("call", due.attempt + 1)
         .kv("kind", kind)
-        .kv("endpoint", call.endpoint)
-        .kv("destination", call.destination);
+        .kv("endpoint", due.endpoint)
+        .kv("destination", due.destination);
     if (held.mayHaveRunSince)
         line.kv("may_have_run_ms_ago", (Steady::now() - *held.mayHaveRunSince) / milliseconds(1));
 }
 
-void Decisions::recordSent(const DueAttempt& call, TimePoint firstByteAt) {
-    sendRules_.sent(attemptOf(call), firstByteAt);
+void Decisions::recordSent(const DueAttempt& due, TimePoint firstByteAt) {
+    sendRules_.sent(rulesAttempt(due), firstByteAt);
 }
 
-void Decisions::attemptNotSent(const DueAttempt& call) {
+void Decisions::attemptNotSent(const DueAttempt& due) {
     const std::lock_guard lock(mutex_);
-    const auto it = held_.find(call.id);
-    if (it == held_.end() || !it->second.attempt || it->second.attempts != call.attempt + 1) return;
-    takeBack(it->second, call.id);
+    const auto it = heldMessages_.find(due.id);
+    if (it == heldMessages_.end() || !it->second.openAttempt || it->second.attempts != due.attempt + 1)
+        return;
+    undoBegin(it->second, due.id);
 }
 
-/// The attempt that is on record, if any, never left.
-void Decisions::takeBack(Held& held, const std::string& id) {
+/// Closes the open attempt, if there is one, as not sent.
+void Decisions::undoBegin(HeldMessage& held, const std::string& id) {
     sendRules_.end(id);
-    const auto attempt = std::exchange(held.attempt, std::nullopt);
-    if (!held.over) recorder_.neverLeft(id, attempt);
+    const auto attempt = std::exchange(held.openAttempt, std::nullopt);
+    if (!held.ended) recorder_.attemptNotSent(id, attempt);
 }
 
-// ---- report ----
+// ---- events ----
 
 SubmissionResult Decisions::submit(const Submission& message) {
     const std::lock_guard lock(mutex_);
-    const auto verdict = decide(message);
+    const auto result = admit(message);
     static constexpr std::array<std::string_view, 4> kKinds{"taken", "refused", "failed", "conflict"};
-    const auto kind = kKinds[static_cast<std::size_t>(verdict.kind)];
-    (log::debug() << "handed in")
+    const auto kind = kKinds[static_cast<std::size_t>(result.kind)];
+    (log::debug() << "message submitted")
         .kv("id", message.id)
         .kv("destination", message.destination)
         .kv("verdict", kind)
-        .kv("after_ms", verdict.retryAfter.count());
+        .kv("after_ms", result.retryAfter.count());
     metrics::counter("messages_total", "verdict", kind).add();
-    if (hooks_.messageSubmitted) hooks_.messageSubmitted(message, verdict);
-    return verdict;
+    if (hooks_.messageSubmitted) hooks_.messageSubmitted(message, result);
+    return result;
 }
 
-SubmissionResult Decisions::decide(const Submission& message) {
+SubmissionResult Decisions::admit(const Submission& message) {
     using Kind = SubmissionResult::Kind;
     const auto now = Steady::now();
     if (stopped_) return refused("stopping", kRetryAfterWhenFull);
-    if (const auto it = held_.find(message.id); it != held_.end()) {
-        // Danger: the id may come with another message, and either of the two first. Whoever is told that a
-        // message was taken on must be owed that very one; what is held goes on undisturbed.
-        const auto& in = it->second.in;
-        const bool same = in.key == message.key && in.destination == message.destination &&
-                          in.messageClass == message.messageClass && *in.body == *message.body;
-        if (!same || it->second.over) return {Kind::conflict, {}};
-        ++it->second.handIns;
-        return {Kind::accepted, {}, true};  // the same request once more, on a new connection
+    if (const auto it = heldMessages_.find(message.id); it != heldMessages_.end()) {
+        // The same id may come with a different message. `accepted` must refer to the message that was
+        // submitted, so whichever comes second gets a conflict and the held message stays as it is.
+        const auto& held = it->second.submission;
+        const bool same = held.key == message.key && held.destination == message.destination &&
+                          held.messageClass == message.messageClass && *held.body == *message.body;
+        if (!same || it->second.ended) return {Kind::conflict, {}};
+        ++it->second.acceptedSubmissions;
+        return {Kind::accepted, {}, true};  // the client repeated its request, e.g. on a new connection
     }
     if (message.deadline <= now) return refused("late", {});
-    // Danger: a message for no destination would be held in vain, and one entry for each number that anybody
-    // makes up would stay in the tables. The list comes seconds late, so the client may try again.
-    forget(now);
+    // A message for an unknown destination could never be delivered, and each invented destination number
+    // would leave an entry in the tables. The list of endpoints arrives with a delay of seconds, so the
+    // client is asked to retry.
+    purgeExpired(now);
     if (!destinations_.count(message.destination))
         return refused("unknown_destination", kRetryAfterUnknownDestination);
-    if (held_.size() >= static_cast<std::size_t>(config_.settings.maxHeld))
+    if (heldMessages_.size() >= static_cast<std::size_t>(config_.settings.maxHeld))
         return refused("held_full", kRetryAfterWhenFull);
     store::StoredMessage record;
     record.id = message.id;
@@ -230,78 +236,82 @@
     record.deadline =
         recordClock_.now() + std::chrono::duration_cast<milliseconds>(message.deadline - now).count();
     record.body = message.body;
-    const bool stored = recorder_.take(record);
-    if (stored == noRoom_) {
-        noRoom_ = !stored;
-        if (noRoom_) log::warning() << "no room in the store at " << held_.size() << " messages held";
-        else log::info() << "room in the store again at " << held_.size() << " messages held";
+    const bool stored = recorder_.accept(record);
+    if (stored == storeFull_) {
+        storeFull_ = !stored;
+        if (storeFull_)
+            log::warning() << "store refuses new messages at " << heldMessages_.size() << " messages held";
+        else log::info() << "store accepts messages again at " << heldMessages_.size() << " messages held";
     }
     if (!stored) return refused("store", kRetryAfterWhenFull);
-    hold(message);
-    if (destinations_[message.destination].serving == 0 && hooks_.endpointNeeded)
+    addHeldMessage(message);
+    if (destinations_[message.destination].servingEndpoints == 0 && hooks_.endpointNeeded)
         hooks_.endpointNeeded(message.destination);
-    stoathub::MessageAccepted handed;
-    handed.id = message.id;
-    handed.destination = message.destination;
-    handed.messageClass = static_cast<int>(message.messageClass);
-    handed.timeLeft = message.deadline - now;
-    SubmissionResult verdict;
-    turn({{std::move(handed)}}, &verdict, &message.id);
-    return verdict;
-}
-
-void Decisions::recordResult(const DueAttempt& call, const AttemptResult& result) {
-    // Danger: where the processor is short the facade's lock may be long in coming, and others begin calls
-    // meanwhile. What a partner has told holds from now on, not from when there is time for it.
-    const auto heardAt = Steady::now();
+    stoathub::MessageAccepted accepted;
+    accepted.id = message.id;
+    accepted.destination = message.destination;
+    accepted.messageClass = static_cast<int>(message.messageClass);
+    accepted.timeLeft = message.deadline - now;
+    SubmissionResult result;
+    runTurn({{std::move(accepted)}}, &result, &message.id);
+    return result;
+}
+
+void Decisions::recordResult(const DueAttempt& due, const AttemptResult& result) {
+    // On an overloaded machine this thread may wait long for the facade's lock while other threads begin
+    // attempts. The announced wait must apply from the time the answer was received, so it is set before
+    // locking.
+    const auto receivedAt = Steady::now();
     if (result.status == AttemptStatus::rejected && result.wait.count() > 0)
-        sendRules_.extendWait(call.destination,
-                              heardAt + std::chrono::duration_cast<Steady::duration>(result.wait), heardAt);
+        sendRules_.extendWait(due.destination,
+                              receivedAt + std::chrono::duration_cast<Steady::duration>(result.wait),
+                              receivedAt);
     const std::lock_guard lock(mutex_);
-    sendRules_.end(call.id);
-    const auto it = held_.find(call.id);
-    if (it == held_.end() || !it->second.out) return;
-    Held& held = it->second;
-    --out_;
-    held.out = false;
+    sendRules_.end(due.id);
+    const auto it = heldMessages_.find(due.id);
+    if (it == heldMessages_.end() || !it->second.inFlight) return;
+    HeldMessage& held = it->second;
+    --inFlight_;
+    held.inFlight = false;
     if (result.status == AttemptStatus::unsent) --held.attempts;
-    const bool over = result.messageFinished || result.status == AttemptStatus::delivered;
-    // Danger: an answer may be heard in the moment of a stop. Off the record, the next life would repeat what
-    // was delivered, and give up for nothing what surely never ran. What the stop itself called off has no
-    // outcome.
-    const bool unheard = stopped_ && result.status == AttemptStatus::cancelled;
-    const auto attempt = std::exchange(held.attempt, std::nullopt);
-    if (over && !held.over) recorder_.done(call.id);
-    else if (!held.over && !unheard)
-        recorder_.outcome(call.id, attempt, {mayHaveRun(result.status), failed(result.status)});
-    if (mayHaveRun(result.status) && !held.mayHaveRunSince) held.mayHaveRunSince = call.issuedAt;
-    if (stopped_) {  // nothing is decided any more
-        if (over || held.over) release(call.id);
+    const bool finished = result.messageFinished || result.status == AttemptStatus::delivered;
+    // An answer may arrive while the process stops. Without a record of it the next run would repeat a
+    // delivered message, or give up one that certainly never ran. Attempts cancelled by the stop itself have
+    // no outcome.
+    const bool cancelledByStop = stopped_ && result.status == AttemptStatus::cancelled;
+    const auto attempt = std::exchange(held.openAttempt, std::nullopt);
+    if (finished && !held.ended) recorder_.remove(due.id);
+    else if (!held.ended && !cancelledByStop)
+        recorder_.recordOutcome(due.id, attempt, {mayHaveRun(result.status), failed(result.status)});
+    if (mayHaveRun(result.status) && !held.mayHaveRunSince) held.mayHaveRunSince = due.issuedAt;
+    if (stopped_) {  // results are recorded, but nothing more is decided
+        if (finished || held.ended) removeHeldMessage(due.id);
         return;
     }
     const auto now = Steady::now();
     metrics::counter("calls_total", "ending", name(result.status)).add();
-    if (hooks_.attemptFinished) hooks_.attemptFinished(call, result, now - call.issuedAt);
+    if (hooks_.attemptFinished) hooks_.attemptFinished(due, result, now - due.issuedAt);
     stoathub::Outcome outcome;
-    outcome.id = call.id;
-    outcome.endpoint = call.endpoint;
-    outcome.attempt = call.attempt;
+    outcome.id = due.id;
+    outcome.endpoint = due.endpoint;
+    outcome.attempt = due.attempt;
     outcome.result = moduleResult(result.status);
-    outcome.took = now - call.issuedAt;
+    outcome.took = now - due.issuedAt;
     outcome.retryAfter = result.wait;
-    outcome.concluded = over;
+    outcome.concluded = finished;
     outcome.stale = result.stale;
     outcome.allowanceLeft = result.allowanceLeft;
     outcome.allowedRate = result.allowedRate;
-    if (over || held.over) release(call.id);
-    turn({{std::move(outcome)}});
+    if (finished || held.ended) removeHeldMessage(due.id);
+    runTurn({{std::move(outcome)}});
 }
 
 void Decisions::updateEndpoints(const listing::EndpointList& list, bool saved) {
-    // As for waits: what drains or goes gets nothing more, whoever holds the lock.
-    const auto heardAt = Steady::now();
+    // As for announced waits: endpoints that drain or go must get no new attempts while this thread waits for
+    // the lock.
+    const auto receivedAt = Steady::now();
     for (const auto& e : list.endpoints)
-        if (e.status != listing::Status::serving) sendRules_.markNotServing(e.name, heardAt);
+        if (e.status != listing::Status::serving) sendRules_.markNotServing(e.name, receivedAt);
     const std::lock_guard lock(mutex_);
     if (stopped_) return;
     stoathub::EndpointListUpdate news;
@@ -309,11 +319,11 @@
                 : list.snapshot ? stoathub::ListUpdateKind::full
                                 : stoathub::ListUpdateKind::delta;
     const auto now = Steady::now();
-    if (saved || list.snapshot) {  // what it does not name is gone
+    if (saved || list.snapshot) {  // endpoints missing from a complete list are gone
         std::set<std::string_view> named;
         for (const auto& e : list.endpoints) named.insert(e.name);
         std::vector<std::string> gone;
-        for (const auto& [name, seen] : endpoints_)
+        for (const auto& [name, entry] : endpoints_)
             if (!named.count(name)) gone.push_back(name);
         for (const auto& name : gone) setEndpoint(name, nullptr, now);
     }
@@ -321,7 +331,7 @@
         stoathub::Endpoint entry;
         entry.id = e.name;
         entry.destination = e.destination;
-        if (e.status == listing::Status::deleted) {  // a deletion need not tell more than the name
+        if (e.status == listing::Status::deleted) {  // a deletion may carry only the name
             const auto known = endpoints_.find(e.name);
             if (known == endpoints_.end()) continue;
             entry.destination = known->second.destination;
@@ -333,62 +343,63 @@
                       : e.status == listing::Status::draining ? stoathub::EndpointState::draining
                                                               : stoathub::EndpointState::removed;
         news.entries.push_back(std::move(entry));
-        const rules::Endpoint seen{e.address, e.destination, e.status == listing::Status::serving};
-        setEndpoint(e.name, e.status == listing::Status::deleted ? nullptr : &seen, now);
+        const rules::Endpoint listed{e.address, e.destination, e.status == listing::Status::serving};
+        setEndpoint(e.name, e.status == listing::Status::deleted ? nullptr : &listed, now);
     }
-    forget(now);
-    turn({{std::move(news)}});
+    purgeExpired(now);
+    runTurn({{std::move(news)}});
 }
 
-/// The one place where the tables of endpoints and destinations change; `seen` is null for one that is gone.
-void Decisions::setEndpoint(const std::string& name, const rules::Endpoint* seen, TimePoint now) {
+/// Updates the tables of endpoints and destinations; nothing else changes them. `entry` is null for an
+/// endpoint that is gone.
+void Decisions::setEndpoint(const std::string& name, const rules::Endpoint* entry, TimePoint now) {
     const auto it = endpoints_.find(name);
-    const bool had = it != endpoints_.end();
-    if (!seen) sendRules_.removeEndpoint(name, now);
-    else if (!seen->serving) sendRules_.markNotServing(name, now);
-    if (seen) sendRules_.setEndpoint(name, *seen);
-    // Nothing more goes there: its connections are of no use.
-    const bool same = had && seen && seen->serving && it->second.address == seen->address;
-    if (had && !same && hooks_.closeIdleConnections) hooks_.closeIdleConnections(name);
-    if (had) {
-        Group& group = destinations_[it->second.destination];
-        group.serving -= it->second.serving;
-        if (--group.listed == 0) unlisted_[it->second.destination] = now;
+    const bool known = it != endpoints_.end();
+    if (!entry) sendRules_.removeEndpoint(name, now);
+    else if (!entry->serving) sendRules_.markNotServing(name, now);
+    if (entry) sendRules_.setEndpoint(name, *entry);
+    // Nothing more is sent there, so its idle connections are closed.
+    const bool unchanged = known && entry && entry->serving && it->second.address == entry->address;
+    if (known && !unchanged && hooks_.closeIdleConnections) hooks_.closeIdleConnections(name);
+    if (known) {
+        DestinationState& destination = destinations_[it->second.destination];
+        destination.servingEndpoints -= it->second.serving;
+        if (--destination.listedEndpoints == 0) unlistedSince_[it->second.destination] = now;
     }
-    if (seen) {
-        Group& group = destinations_[seen->destination];
-        group.serving += seen->serving;
-        if (++group.listed == 1) unlisted_.erase(seen->destination);
-        endpoints_[name] = *seen;
-    } else if (had) {
+    if (entry) {
+        DestinationState& destination = destinations_[entry->destination];
+        destination.servingEndpoints += entry->serving;
+        if (++destination.listedEndpoints == 1) unlistedSince_.erase(entry->destination);
+        endpoints_[name] = *entry;
+    } else if (known) {
         endpoints_.erase(it);
     }
 }
 
-Decisions::Held& Decisions::hold(const Submission& message) {
-    Held& held = held_[message.id];
-    held.in = message;
-    ++destinations_[message.destination].held;
+Decisions::HeldMessage& Decisions::addHeldMessage(const Submission& message) {
+    HeldMessage& held = heldMessages_[message.id];
+    held.submission = message;
+    ++destinations_[message.destination].heldMessages;
     return held;
 }
 
-void Decisions::release(const std::string& id) {
-    const auto it = held_.find(id);
-    if (it == held_.end()) return;
-    --destinations_[it->second.in.destination].held;
-    held_.erase(it);
+void Decisions::removeHeldMessage(const std::string& id) {
+    const auto it = heldMessages_.find(id);
+    if (it == heldMessages_.end()) return;
+    --destinations_[it->second.submission.destination].heldMessages;
+    heldMessages_.erase(it);
 }
 
-void Decisions::updateDestinationHealth(const std::vector<DestinationHealth>& standings) {
+void Decisions::updateDestinationHealth(const std::vector<DestinationHealth>& health) {
     const std::lock_guard lock(mutex_);
-    if (stopped_ || standings.empty()) return;
+    if (stopped_ || health.empty()) return;
     Events events;
-    for (const auto& s : standings) {
+    for (const auto& s : health) {
         stoathub::DestinationHealth event{s.destination, s.down, {}, s.rateLimit, s.unconfirmed, s.probed};
         if (s.sinceRecovery) event.sinceRecovery = *s.sinceRecovery;
         events.all.push_back(std::move(event));
     }
-    turn(events);
+    runTurn(events);
 }
 
 std::vector<DestinationHealth> Decisions::destinationHealth() const {
@@ -396,53 +407,53 @@
     std::vector<DestinationHealth> all;
     for (const auto& s : sender_.destinationHealth()) {
         all.push_back({s.destination, s.down, {}, s.rateLimit, s.unconfirmed, false});
-        if (s.sinceRecovery) all.back().sinceRecovery = wholeMs(*s.sinceRecovery);
+        if (s.sinceRecovery) all.back().sinceRecovery = ceilMs(*s.sinceRecovery);
     }
     return all;
 }
 
 Decisions::PendingLoad Decisions::pendingLoad(std::uint64_t destination) const {
     const std::lock_guard lock(mutex_);
-    PendingLoad found;
+    PendingLoad load;
     if (const auto it = destinations_.find(destination); it != destinations_.end())
-        found.held = it->second.held;
-    found.waitUntil = sendRules_.waitUntil(destination);
-    return found;
+        load.held = it->second.heldMessages;
+    load.waitUntil = sendRules_.waitUntil(destination);
+    return load;
 }
 
-// Danger: whoever tells the platform of ends must not stand behind the facade's lock: the next end may have
-// little time left.
-void Decisions::acknowledgeNotices(const std::vector<std::string>& noticed) {
+// The thread that sends notices must not wait for the facade's lock, as the next notice may be close to its
+// deadline.
+void Decisions::acknowledgeNotices(const std::vector<std::string>& acknowledged) {
     {
-        const std::lock_guard lock(noticedMutex_);
-        noticed_.insert(noticed_.end(), noticed.begin(), noticed.end());
+        const std::lock_guard lock(acknowledgedMutex_);
+        acknowledgedNotices_.insert(acknowledgedNotices_.end(), acknowledged.begin(), acknowledged.end());
     }
     const std::unique_lock lock(mutex_, std::try_to_lock);
-    if (!lock) return;  // whoever holds it puts them on record before it lets go, or the next turn does
-    recordNoticed();
-    if (recorder_.behind()) wake_.notify_one();
+    if (!lock) return;  // the holder records them before it unlocks, or the next turn does
+    recordAcknowledgedNotices();
+    if (recorder_.hasUnwrittenRecords()) wakeUp_.notify_one();
 }
 
-void Decisions::recordNoticed() {
-    std::vector<std::string> noticed;
+void Decisions::recordAcknowledgedNotices() {
+    std::vector<std::string> acknowledged;
     {
-        const std::lock_guard lock(noticedMutex_);
-        noticed.swap(noticed_);
+        const std::lock_guard lock(acknowledgedMutex_);
+        acknowledged.swap(acknowledgedNotices_);
     }
-    for (const auto& id : noticed) recorder_.noticed(id);
+    for (const auto& id : acknowledged) recorder_.noticeAcknowledged(id);
 }
 
 void Decisions::withdraw(const std::string& id) {
     const std::lock_guard lock(mutex_);
-    const auto it = held_.find(id);
-    if (stopped_ || it == held_.end() || it->second.over) return;
-    // Danger: its client may have sent it once more and been told that it is taken. It is owed to whichever
-    // hand-in was told so; an answer that was lost takes nothing back from another.
-    if (--it->second.handIns > 0) return;
-    recorder_.done(id);
-    it->second.over = true;
-    if (!it->second.out) release(id);
-    turn({{stoathub::MessageWithdrawn{id}}});
+    const auto it = heldMessages_.find(id);
+    if (stopped_ || it == heldMessages_.end() || it->second.ended) return;
+    // The client may have submitted it again and received `accepted`. A lost answer to one submission must
+    // not drop the message while another accepted submission depends on it.
+    if (--it->second.acceptedSubmissions > 0) return;
+    recorder_.remove(id);
+    it->second.ended = true;
+    if (!it->second.inFlight) removeHeldMessage(id);
+    runTurn({{stoathub::MessageWithdrawn{id}}});
 }
 
 std::size_t Decisions::restore(const std::vector<store::StoredMessage>& messages,
@@ -453,28 +464,30 @@
     std::size_t late = 0;
     Events events;
     for (const auto& message : messages) {
-        auto found = interpret(message, config_, recordNow, healthKnownUntil);
-        late += found.left.count() <= 0;
-        logFound(message, found);
-        Held& held =
-            hold({message.id, message.key, message.destination, static_cast<std::uint32_t>(found.grade),
-                  static_cast<std::uint32_t>(found.tenant), now + found.left, message.body});
-        held.found = true;
-        if (found.mayHaveRun) held.mayHaveRunSince = now - found.sinceRan;
-        // Danger: a configuration with fewer classes; the module takes no message of one that it does not
-        // know, and nobody would ever end it.
-        if (found.state == FoundState::unknownClass) {
-            conclude(
+        auto recovered = interpret(message, config_, recordNow, healthKnownUntil);
+        late += recovered.timeLeft.count() <= 0;
+        logRecovered(message, recovered);
+        HeldMessage& held = addHeldMessage(
+            {message.id, message.key, message.destination, static_cast<std::uint32_t>(recovered.messageClass),
+             static_cast<std::uint32_t>(recovered.tenant), now + recovered.timeLeft, message.body});
+        held.recovered = true;
+        if (recovered.mayHaveRun) held.mayHaveRunSince = now - recovered.sinceMayHaveRun;
+        // The new configuration may lack the message's class. The decision module ignores messages of unknown
+        // classes, so such a message would never end.
+        if (recovered.state == RecoveryState::unknownClass) {
+            endUndelivered(
                 message.id,
-                {message.id, found.mayHaveRun ? store::FinalState::failed : store::FinalState::returned, 0});
+                {message.id, recovered.mayHaveRun ? store::FinalState::failed : store::FinalState::returned,
+                 0});
             continue;
         }
-        // Until the list names it, as for any that it named a moment ago.
-        if (destinations_[message.destination].listed == 0) unlisted_.try_emplace(message.destination, now);
-        held.attempts = found.handed.priorAttempts->attempts;
-        events.all.push_back(std::move(found.handed));
+        // Until the list names the destination, it is treated as one that has just been unlisted.
+        if (destinations_[message.destination].listedEndpoints == 0)
+            unlistedSince_.try_emplace(message.destination, now);
+        held.attempts = recovered.event.priorAttempts->attempts;
+        events.all.push_back(std::move(recovered.event));
     }
-    if (!events.all.empty()) turn(events);
+    if (!events.all.empty()) runTurn(events);
     return late;
 }
 
@@ -485,39 +498,41 @@
     while (!stopped_) {
         const auto now = Steady::now();
         const bool behind = !recorder_.flush();
-        tellEnds(false);
-        const auto next =
-            std::min(wakeAt_.value_or(TimePoint::max()), behind ? now + kFlush : TimePoint::max());
+        reportEnds(false);
+        const auto next = std::min(wakeUpAt_.value_or(TimePoint::max()),
+                                   behind ? now + kRecordRetryInterval : TimePoint::max());
         if (next == TimePoint::max()) {
-            wake_.wait(lock);
+            wakeUp_.wait(lock);
         } else if (now < next) {
-            wake_.wait_until(lock, next);
+            wakeUp_.wait_until(lock, next);
         } else {
-            // Whatever is decided on time counts for little where the machine holds the process up.
+            // A late wake-up delays every decision that depends on time, so it is worth a warning.
             const auto late = std::chrono::duration_cast<milliseconds>(Steady::now() - next);
-            if (late > kLate) log::warning() << "woken " << late.count() << " ms late";
-            wakeAt_.reset();
-            turn({{stoathub::TimerFired{}}});
+            if (late > kLateWakeUp) log::warning() << "timer ran " << late.count() << " ms late";
+            wakeUpAt_.reset();
+            runTurn({{stoathub::TimerFired{}}});
             return true;
         }
     }
     return false;
 }
 
-// The module waits for one time: it asks for a sooner one, or anew once the last has passed, and so each
-// takes the place of the one before. Keeping them all would turn the module for nothing.
-void Decisions::wakeAt(TimePoint at) {
-    const bool sooner = !wakeAt_ || at < *wakeAt_;
-    wakeAt_ = at;
-    if (sooner) wake_.notify_one();
+// The decision module needs one wake-up at a time: it requests an earlier one, or a new one after the last
+// has passed. So each request replaces the previous one; keeping them all would cause turns without work.
+void Decisions::scheduleWakeUp(TimePoint at) {
+    const bool sooner = !wakeUpAt_ || at < *wakeUpAt_;
+    wakeUpAt_ = at;
+    if (sooner) wakeUp_.notify_one();
 }
 
-// Danger: destinations come and go for as long as the process lives. What has long been unlisted, and waits
-// that are over, are not kept.
-void Decisions::forget(TimePoint now) {
-    std::erase_if(unlisted_, [&](const auto& entry) {
+// Destinations come and go during a process run, so the tables would grow without bound. Destinations
+// without held messages that have been unlisted for kUnlistedRetention are dropped, and waits that have
+// passed.
+void Decisions::purgeExpired(TimePoint now) {
+    std::erase_if(unlistedSince_, [&](const auto& entry) {
         const auto it = destinations_.find(entry.first);
-        if (it != destinations_.end() && (it->second.held > 0 || now - entry.second < kDestinations))
+        if (it != destinations_.end() &&
+            (it->second.heldMessages > 0 || now - entry.second < kUnlistedRetention))
             return false;
         if (it != destinations_.end()) destinations_.erase(it);
         return true;
@@ -525,81 +540,88 @@
     sendRules_.pruneExpired(now);
 }
 
-void Decisions::turn(const Events& events, SubmissionResult* own, const std::string* ownId) {
+void Decisions::runTurn(const Events& events, SubmissionResult* submissionResult,
+                        const std::string* submittedId) {
     const auto now = Steady::now();
     for (const auto& action : sender_.turn(moduleTime(now), events.all)) {
         if (const auto* send = std::get_if<stoathub::Send>(&action)) {
-            const auto it = held_.find(send->id);
-            if (it == held_.end()) continue;  // the module sends only what it holds
-            if (!picking_) continue;          // left to the next start, untried
-            Held& held = it->second;
-            held.out = true;
-            held.cancel = std::stop_source();
-            ++out_;
-            const auto seen = endpoints_.find(send->endpoint);
-            calls_.push_back({send->id, held.in.key, held.in.body, send->endpoint,
-                              seen == endpoints_.end() ? std::string() : seen->second.address,
-                              held.in.destination, held.attempts++, now, moment(send->attemptDeadline),
-                              moment(send->sendBy), held.cancel.get_token()});
-            due_.notify_one();
+            const auto it = heldMessages_.find(send->id);
+            if (it == heldMessages_.end()) continue;  // does not happen: the module sends only held messages
+            if (!dispatching_) continue;              // left to the next process run, without an attempt
+            HeldMessage& held = it->second;
+            held.inFlight = true;
+            held.cancelSource = std::stop_source();
+            ++inFlight_;
+            const auto endpoint = endpoints_.find(send->endpoint);
+            dueAttempts_.push_back({send->id, held.submission.key, held.submission.body, send->endpoint,
+                                    endpoint == endpoints_.end() ? std::string() : endpoint->second.address,
+                                    held.submission.destination, held.attempts++, now,
+                                    steadyTime(send->attemptDeadline), steadyTime(send->sendBy),
+                                    held.cancelSource.get_token()});
+            attemptDue_.notify_one();
         } else if (const auto* refuse = std::get_if<stoathub::Refuse>(&action)) {
-            const auto after = wholeMs(refuse->retryIn);
-            if (own && refuse->id == *ownId) {
-                *own = refused("module", after.count() > 0 ? after : kRetryAfterWhenFull);
-                recorder_.done(refuse->id);
-                release(refuse->id);
+            const auto after = ceilMs(refuse->retryIn);
+            if (submissionResult && refuse->id == *submittedId) {
+                *submissionResult = refused("module", after.count() > 0 ? after : kRetryAfterWhenFull);
+                recorder_.remove(refuse->id);
+                removeHeldMessage(refuse->id);
             } else {
-                conclude(refuse->id, {refuse->id, store::FinalState::returned, after.count()});
+                endUndelivered(refuse->id, {refuse->id, store::FinalState::returned, after.count()});
             }
         } else if (const auto* fail = std::get_if<stoathub::Fail>(&action)) {
-            if (own && fail->id == *ownId) {
-                *own = {SubmissionResult::Kind::failed, {}};
-                recorder_.done(fail->id);
-                release(fail->id);
+            if (submissionResult && fail->id == *submittedId) {
+                *submissionResult = {SubmissionResult::Kind::failed, {}};
+                recorder_.remove(fail->id);
+                removeHeldMessage(fail->id);
             } else {
-                conclude(fail->id, {fail->id, store::FinalState::failed, 0});
+                endUndelivered(fail->id, {fail->id, store::FinalState::failed, 0});
             }
         } else if (const auto* cancel = std::get_if<stoathub::Cancel>(&action)) {
-            const auto it = held_.find(cancel->id);
-            if (it != held_.end() && it->second.out && it->second.attempts == cancel->attempt + 1)
-                it->second.cancel.request_stop();
+            const auto it = heldMessages_.find(cancel->id);
+            if (it != heldMessages_.end() && it->second.inFlight &&
+                it->second.attempts == cancel->attempt + 1)
+                it->second.cancelSource.request_stop();
         } else if (const auto* wake = std::get_if<stoathub::SetTimer>(&action)) {
-            wakeAt(now + std::chrono::duration_cast<Steady::duration>(wake->after));
+            scheduleWakeUp(now + std::chrono::duration_cast<Steady::duration>(wake->after));
         } else if (const auto* close = std::get_if<stoathub::CloseIdleConnections>(&action)) {
             if (hooks_.closeIdleConnections) hooks_.closeIdleConnections(close->endpoint);
         }
-        // Follow has no place on sockets: the watch always runs.
+        // Follow needs no action: the watch on discovery always runs.
     }
-    recordNoticed();
-    if (recorder_.behind()) wake_.notify_one();
+    recordAcknowledgedNotices();
+    if (recorder_.hasUnwrittenRecords()) wakeUp_.notify_one();
 }
 
-void Decisions::conclude(const std::string& id, const store::PendingNotice& notice) {
-    const auto it = held_.find(id);
-    if (it == held_.end()) return;
-    if (it->second.over) return violations_.count(rules::Rule::finalAnswer, id, "a second end");
-    const auto late = Steady::now() - it->second.in.deadline;
-    if (late > kLateEnd && !it->second.found)
+void Decisions::endUndelivered(const std::string& id, const store::PendingNotice& notice) {
+    const auto it = heldMessages_.find(id);
+    if (it == heldMessages_.end()) return;
+    if (it->second.ended) return violations_.count(rules::Rule::finalAnswer, id, "second end of one message");
+    const auto late = Steady::now() - it->second.submission.deadline;
+    if (late > kLateEnd && !it->second.recovered)
         violations_.count(rules::Rule::lateEnd, id, std::to_string(late / milliseconds(1)) + " ms late");
     const char* state = notice.finalState == store::FinalState::failed ? "failed" : "returned";
     metrics::counter("ends_total", "state", state).add();
-    (log::debug() << "ended undelivered").kv("id", id).kv("state", state).kv("after_ms", notice.retryAfterMs);
-    recorder_.ended(notice);
-    if (it->second.out) it->second.over = true;
-    else release(id);
-    untold_.push_back({notice, Steady::now() + kTellUnrecorded});
-    tellEnds(false);
-}
-
-// Danger: an end that is told and not on record would be decided once more by the next life, and perhaps
-// otherwise. So it is on record first; but where the store can't write, it does not wait for long.
-void Decisions::tellEnds(bool all) {
-    const bool recorded = !recorder_.behind();
+    (log::debug() << "message ended undelivered")
+        .kv("id", id)
+        .kv("state", state)
+        .kv("after_ms", notice.retryAfterMs);
+    recorder_.recordFinalState(notice);
+    if (it->second.inFlight) it->second.ended = true;
+    else removeHeldMessage(id);
+    unreportedEnds_.push_back({notice, Steady::now() + kUnrecordedEndDelay});
+    reportEnds(false);
+}
+
+// An end that is reported but not on record would be decided again, perhaps differently, by the next run.
+// So ends are recorded before they are reported. If the store can't write, they are reported after
+// kUnrecordedEndDelay, so that a failing disk does not delay notices for long.
+void Decisions::reportEnds(bool all) {
+    const bool recorded = !recorder_.hasUnwrittenRecords();
     const auto now = Steady::now();
-    while (!untold_.empty() && (all || recorded || now >= untold_.front().tellBy)) {
-        const auto notice = std::move(untold_.front().notice);
-        untold_.pop_front();
-        (log::debug() << "end handed to the notices")
+    while (!unreportedEnds_.empty() && (all || recorded || now >= unreportedEnds_.front().reportBy)) {
+        const auto notice = std::move(unreportedEnds_.front().notice);
+        unreportedEnds_.pop_front();
+        (log::debug() << "end reported to the notices module")
             .kv("id", notice.id)
             .kv("recorded", recorded ? "yes" : "no");
         if (hooks_.messageEnded) hooks_.messageEnded(notice);
@@ -608,44 +630,44 @@
 
 void Decisions::stopDispatching() {
     const std::lock_guard lock(mutex_);
-    dropDue();
-    due_.notify_all();
-}
-
-/// Calls that no worker has are none: they are left to the next start, untried.
-void Decisions::dropDue() {
-    picking_ = false;
-    for (const auto& call : calls_) {
-        const auto it = held_.find(call.id);
-        if (it == held_.end()) continue;
-        it->second.out = false;
-        --out_;
-        if (it->second.over) release(call.id);
+    discardDueAttempts();
+    attemptDue_.notify_all();
+}
+
+/// Attempts that no worker has taken are not made; their messages are left to the next process run.
+void Decisions::discardDueAttempts() {
+    dispatching_ = false;
+    for (const auto& due : dueAttempts_) {
+        const auto it = heldMessages_.find(due.id);
+        if (it == heldMessages_.end()) continue;
+        it->second.inFlight = false;
+        --inFlight_;
+        if (it->second.ended) removeHeldMessage(due.id);
     }
-    calls_.clear();
+    dueAttempts_.clear();
 }
 
 void Decisions::stop() {
     const std::lock_guard lock(mutex_);
-    dropDue();
+    discardDueAttempts();
     recorder_.flush();
-    tellEnds(true);
+    reportEnds(true);
     stopped_ = true;
-    for (auto& [id, held] : held_)
-        if (held.out) held.cancel.request_stop();
-    due_.notify_all();
-    wake_.notify_all();
+    for (auto& [id, held] : heldMessages_)
+        if (held.inFlight) held.cancelSource.request_stop();
+    attemptDue_.notify_all();
+    wakeUp_.notify_all();
 }
 
 bool Decisions::flushRecords() {
     const std::lock_guard lock(mutex_);
-    recordNoticed();
+    recordAcknowledgedNotices();
     return recorder_.flush();
 }
 
 Decisions::TableSizes Decisions::tableSizes() const {
     const std::lock_guard lock(mutex_);
-    return {held_.size(), endpoints_.size(), destinations_.size(), sendRules_.waitCount()};
+    return {heldMessages_.size(), endpoints_.size(), destinations_.size(), sendRules_.waitCount()};
 }
 std::vector<Decisions::RetryBucketState> Decisions::retryBucketStates() const {
     const std::lock_guard lock(mutex_);
@@ -656,11 +678,11 @@
 }
 std::size_t Decisions::heldMessages() const {
     const std::lock_guard lock(mutex_);
-    return held_.size();
+    return heldMessages_.size();
 }
 std::size_t Decisions::attemptsInFlight() const {
     const std::lock_guard lock(mutex_);
-    return out_;
+    return inFlight_;
 }
 
 }  // namespace laurelhaven::decisions
--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -1,5 +1,9 @@
-// The facade over the decision module, in blocking style: pick, report, tick. It owns the Sender, its lock,
-// its clock and wake times, and the held messages; everything round it sees plain values only.
+// Facade over the decision module (stoathub::Sender). It owns the Sender, the lock around it, its clock and
+// wake-up times, and the held messages; the other parts of the program exchange plain values with it. Workers
+// take due attempts and record their results; one thread calls tick().
+//
+// Thread safety: all public functions of Decisions may be called from any thread. Unless noted otherwise they
+// take the facade's lock.
 #pragma once
 
 #include <chrono>
@@ -28,205 +32,222 @@
 using Steady = std::chrono::steady_clock;
 using TimePoint = Steady::time_point;
 
-/// A message as a front hands it in.
+/// A message as a client submits it.
 struct Submission {
-    std::string id, key;
+    std::string id, key;  ///< key: the idempotency key; empty: none
     std::uint64_t destination = 0;
-    std::uint32_t messageClass = 0, tenant = 0;  ///< positions in the settings
-    TimePoint deadline;                          ///< when its client gives it up
+    std::uint32_t messageClass = 0, tenant = 0;  ///< positions in the configured lists
+    TimePoint deadline;                          ///< the client stops waiting for delivery then
     std::shared_ptr<const std::string> body;
 };
 
-/// What becomes of a hand-in. Only `taken` leaves anything owed.
+/// The answer to a submission. Only after `accepted` does the sender owe the message a final outcome.
 struct SubmissionResult {
-    enum class Kind { accepted, refused, failed, conflict };  ///< conflict: the id is another message's
+    /// `conflict`: the id belongs to another message.
+    enum class Kind { accepted, refused, failed, conflict };
     Kind kind = Kind::accepted;
-    std::chrono::milliseconds retryAfter{};  ///< for refused: come again after so long
-    bool duplicate = false;                  ///< for taken: it was taken already, from an earlier hand-in
+    std::chrono::milliseconds retryAfter{};  ///< for refused: when the client may submit again; 0: not said
+    bool duplicate = false;                  ///< for accepted: an earlier submission was accepted already
 };
 
-/// One call that is due.
+/// One attempt that is due now.
 struct DueAttempt {
     std::string id, key;
     std::shared_ptr<const std::string> body;
     std::string endpoint, address;
     std::uint64_t destination = 0;
-    int attempt = 0;
-    TimePoint issuedAt, tryUntil;  ///< given up then
-    TimePoint startBy;             ///< and not begun any more after this
-    std::stop_token cancelToken;
+    int attempt = 0;  ///< counted from 0 for each message
+    TimePoint issuedAt;
+    TimePoint tryUntil;           ///< the attempt is abandoned then
+    TimePoint startBy;            ///< the attempt must not begin after this
+    std::stop_token cancelToken;  ///< the attempt is to be abandoned at once
 };
 
+/// How one attempt ended.
 enum class AttemptStatus {
     delivered,
     error,     ///< answered with an error: it may have run
-    rejected,  ///< unseen
-    timedOut,  ///< it may have run
+    rejected,  ///< the endpoint answered that it did not process the request
+    timedOut,  ///< no answer in time: it may have run
     noConnection,
-    reset,  ///< the connection broke after the last byte: it may have run
-    cancelled,
-    notForwarded,  ///< the endpoint's machine says that it did not pass it on
-    unsent         ///< no byte of it was written: no attempt was made
+    reset,         ///< the connection broke after the last byte was sent: it may have run
+    cancelled,     ///< abandoned on request: it may have run
+    notForwarded,  ///< an intermediary at the endpoint answered that it did not forward the request
+    unsent         ///< no byte was written: no attempt was made
 };
+/// The status as logs and metrics write it.
 std::string_view name(AttemptStatus status);
+
 struct AttemptResult {
     AttemptStatus status = AttemptStatus::unsent;
-    bool messageFinished = false;  ///< nothing more is owed for the message
-    std::chrono::nanoseconds wait{};
-    std::optional<double> allowanceLeft, allowedRate;
-    bool unexpectedServer = false;  ///< answered as by one that does not know such messages
-    bool stale = false;             ///< a kept connection broke as soon as it was used
+    bool messageFinished = false;         ///< the message needs no further outcome
+    std::chrono::nanoseconds wait{};      ///< for rejected: announced wait of the destination; 0: none
+    std::optional<double> allowanceLeft;  ///< unused share of the destination's rate limit, if reported
+    std::optional<double> allowedRate;    ///< rate limit in attempts per second, if reported
+    bool unexpectedServer = false;        ///< the answer is one that no expected endpoint gives
+    bool stale = false;                   ///< a reused connection broke immediately after the request
 };
 
-/// What is known of a destination beyond the list: see stoathub::DestinationHealth.
+/// What is known of a destination beyond the list of endpoints; see stoathub::DestinationHealth.
 struct DestinationHealth {
     std::uint64_t destination = 0;
-    bool down = false;
-    std::optional<std::chrono::milliseconds> sinceRecovery;
-    double rateLimit = 0;  ///< calls a second; 0: not known
+    bool down = false;                                       ///< in an outage
+    std::optional<std::chrono::milliseconds> sinceRecovery;  ///< since the end of its last outage
+    double rateLimit = 0;                                    ///< attempts per second; 0: unknown
     bool unconfirmed = false;
-    bool probed = false;
+    bool probed = false;  ///< a probe has just reached it
 };
 
-/// All are called with the facade's lock held, and must not call back into it.
+/// Callbacks. They run with the facade's lock held and must not call back into the facade.
 struct Hooks {
+    /// A message ended undelivered and the platform is to be notified.
     std::function<void(const store::PendingNotice&)> messageEnded;
     std::function<void(const std::string& endpoint)> closeIdleConnections;
-    /// A call ended: evidence of what is at the endpoint's address.
+    /// An attempt ended: evidence of which server is at the endpoint's address.
     std::function<void(const DueAttempt&, const AttemptResult&, std::chrono::nanoseconds took)>
         attemptFinished = {};
-    /// A message was taken for a destination of which no endpoint may be sent to just now.
+    /// A message was accepted for a destination none of whose endpoints is serving.
     std::function<void(std::uint64_t destination)> endpointNeeded = {};
-    /// A message was handed in, and what became of that.
+    /// A message was submitted and answered.
     std::function<void(const Submission&, const SubmissionResult&)> messageSubmitted = {};
 };
 
 class Decisions {
   public:
-    /// `recordClock`: the time line of what the store keeps.
+    /// `recordClock` is the clock of the stored records; it continues across restarts. `config`, `store` and
+    /// `recordClock` must outlive the facade.
     Decisions(const config::Config& config, store::Store& store, Hooks hooks,
               clock::RecordClock& recordClock = clock::processClock());
 
-    /// Blocks until a call is due. Nothing once picking has stopped.
+    /// Blocks until an attempt is due. Returns nothing once dispatching has stopped.
     std::optional<DueAttempt> takeDueAttempt();
-    /// Asked just before the call's first byte: does it still hold? If so the attempt is on record.
-    bool tryBeginAttempt(const DueAttempt& call);
-    /// It has been written, its first byte at that moment: the attempt is held against the rules.
-    void recordSent(const DueAttempt& call, TimePoint firstByteAt);
+    /// Checks immediately before the first byte whether the attempt is still permitted. Returns true with the
+    /// attempt on record; on false it must not be sent.
+    bool tryBeginAttempt(const DueAttempt& due);
+    /// Reports that the request was written, its first byte at `firstByteAt`. The attempt is checked against
+    /// the send rules. Does not take the facade's lock.
+    void recordSent(const DueAttempt& due, TimePoint firstByteAt);
 
     SubmissionResult submit(const Submission& message);
-    /// Put on record also once stopped: a later life must know what was heard.
-    void recordResult(const DueAttempt& call, const AttemptResult& result);
-    /// The call that has begun did not leave, and is to begin once more: no attempt has been made yet.
-    void attemptNotSent(const DueAttempt& call);
+    /// Results are stored even after stop(), as the next process run needs them.
+    void recordResult(const DueAttempt& due, const AttemptResult& result);
+    /// The attempt has begun but nothing was sent, and it will begin again: it does not count as made.
+    void attemptNotSent(const DueAttempt& due);
+    /// `saved`: the list was read from disk rather than reported by discovery.
     void updateEndpoints(const listing::EndpointList& list, bool saved = false);
-    void updateDestinationHealth(const std::vector<DestinationHealth>& standings);
-    /// The platform knows these ends. Never waits: they are put on record with the next turn.
-    void acknowledgeNotices(const std::vector<std::string>& noticed);
-    /// A client left before it heard that its message was taken: one of the hand-ins that were told so.
+    void updateDestinationHealth(const std::vector<DestinationHealth>& health);
+    /// The platform has acknowledged the notices of these messages. Never blocks on the facade's lock: the
+    /// acknowledgements are stored with the next turn at the latest.
+    void acknowledgeNotices(const std::vector<std::string>& acknowledged);
+    /// The answer to one accepted submission did not reach its client. The message is dropped once this holds
+    /// for all its accepted submissions.
     void withdraw(const std::string& id);
-    /// What an earlier life left unfinished. Up to `healthKnownUntil` what that life had learnt of its
-    /// partners' health was told by report() of standings; only later failures speak of it. The number of
-    /// those whose deadline has passed meanwhile: they end at once, uncalled.
+    /// Takes over the messages that the previous run left unfinished. The endpoints' health up to
+    /// `healthKnownUntil` came through updateDestinationHealth(); only later failures on record count as
+    /// evidence. Returns the number of messages whose deadline passed meanwhile; they end at once, without
+    /// an attempt.
     std::size_t restore(const std::vector<store::StoredMessage>& messages,
                         store::RecordMs healthKnownUntil = 0);
 
-    /// What a later life ought to know, and which waits are on: of the destinations that stand out.
+    /// Health of the destinations that are not in their normal state, for the next process run.
     std::vector<DestinationHealth> destinationHealth() const;
-    /// How much waits for a destination, and until when nothing may go there.
+    /// The messages held for a destination, and until when none may be sent there.
     struct PendingLoad {
         std::size_t held = 0;
         TimePoint waitUntil{};
     };
     PendingLoad pendingLoad(std::uint64_t destination) const;
 
-    struct TableSizes {  ///< entries, table by table
+    struct TableSizes {  ///< number of entries of each table
         std::size_t held = 0, endpoints = 0, destinations = 0, waits = 0;
     };
     TableSizes tableSizes() const;
-    /// Rules that were seen broken.
+    /// Violations of the rules that were detected.
     const rules::Violations& violations() const { return violations_; }
 
-    /// A destination's retry bucket: see stoathub::RetryBucketState.
+    /// Retry bucket of a destination; see stoathub::RetryBucketState.
     struct RetryBucketState {
         std::uint64_t destination = 0;
         double tokens = 0, capacity = 0, gained = 0, spent = 0;
     };
     std::vector<RetryBucketState> retryBucketStates() const;
 
-    /// Blocks until the module wants to be woken, and turns it. False once stopped.
+    /// Blocks until the decision module's timer is due, then runs one turn. Returns false once stopped.
     bool tick();
 
-    /// No call is given out any more.
+    /// Hands out no more attempts.
     void stopDispatching();
-    /// Nothing is decided or recorded any more: calls still out stay so in the store, as for a crash.
+    /// Decides nothing more. Attempts in flight are cancelled; those cancelled without an outcome stay open
+    /// in the store, as after a crash.
     void stop();
-    /// Tries once more to write what the store could not. True when nothing is left to write.
+    /// Retries the writes that the store could not do. Returns true when nothing is left to write.
     bool flushRecords();
     std::size_t heldMessages() const;
+    /// Attempts that are due or with a worker.
     std::size_t attemptsInFlight() const;
 
   private:
-    struct Held {
-        Submission in;
-        int attempts = 0;  // as the module counts them
-        bool out = false;  // a call is with a worker
-        std::optional<store::AttemptNumber>
-            attempt;  // that has begun: it is on record, and may have gone out
-        bool over = false;
-        bool found = false;  // on record at the start: its time may have passed while nothing ran
-        int handIns = 1;     // that were told, or are just being told, that it is taken
+    struct HeldMessage {
+        Submission submission;
+        int attempts = 0;       // as the decision module counts them
+        bool inFlight = false;  // an attempt is due or with a worker
+        /// The attempt that has begun: it is on record and may have been sent.
+        std::optional<store::AttemptNumber> openAttempt;
+        bool ended = false;
+        bool recovered = false;       // from an earlier run: its deadline may have passed between the runs
+        int acceptedSubmissions = 1;  // answered, or about to be answered, with `accepted`
         std::optional<TimePoint> mayHaveRunSince;  // when the first attempt that may have run was sent
-        std::stop_source cancel;
+        std::stop_source cancelSource;
     };
-    struct Group {                    // a destination
-        int listed = 0, serving = 0;  // endpoints
-        std::size_t held = 0;         // messages
+    struct DestinationState {
+        int listedEndpoints = 0, servingEndpoints = 0;
+        std::size_t heldMessages = 0;
     };
 
-    SubmissionResult decide(const Submission& message);
-    void setEndpoint(const std::string& name, const rules::Endpoint* seen, TimePoint now);
-    Held& hold(const Submission& message);
-    void release(const std::string& id);
-    void turn(const struct Events& events, SubmissionResult* own = nullptr,
-              const std::string* ownId = nullptr);
-    void conclude(const std::string& id, const store::PendingNotice& notice);
-    bool holds(const Held& held, const DueAttempt& call) const;
-    rules::Attempt attemptOf(const DueAttempt& call) const;
-    static void logBegun(const Held& held, const DueAttempt& call);
-    void takeBack(Held& held, const std::string& id);
-    void recordNoticed();
-    void tellEnds(bool all);
-    void forget(TimePoint now);
-    void dropDue();
-    void wakeAt(TimePoint at);
+    SubmissionResult admit(const Submission& message);
+    void setEndpoint(const std::string& name, const rules::Endpoint* entry, TimePoint now);
+    HeldMessage& addHeldMessage(const Submission& message);
+    void removeHeldMessage(const std::string& id);
+    void runTurn(const struct Events& events, SubmissionResult* submissionResult = nullptr,
+                 const std::string* submittedId = nullptr);
+    void endUndelivered(const std::string& id, const store::PendingNotice& notice);
+    bool isCurrent(const HeldMessage& held, const DueAttempt& due) const;
+    rules::Attempt rulesAttempt(const DueAttempt& due) const;
+    static void logAttemptBegin(const HeldMessage& held, const DueAttempt& due);
+    void undoBegin(HeldMessage& held, const std::string& id);
+    void recordAcknowledgedNotices();
+    void reportEnds(bool all);
+    void purgeExpired(TimePoint now);
+    void discardDueAttempts();
+    void scheduleWakeUp(TimePoint at);
 
     const config::Config& config_;
     Hooks hooks_;
     clock::RecordClock& recordClock_;
     mutable std::mutex mutex_;
-    std::condition_variable due_, wake_;
+    std::condition_variable attemptDue_, wakeUp_;
     stoathub::Sender sender_;
     rules::Violations violations_;
     rules::SendRules sendRules_;
     Recorder recorder_;
-    /// Ends that are not on record yet, as the store is behind, and when they are told all the same.
-    struct Untold {
+    /// An end that is not on record yet because the store has unwritten records. It is reported at `reportBy`
+    /// even if it is still unwritten.
+    struct UnreportedEnd {
         store::PendingNotice notice;
-        TimePoint tellBy;
+        TimePoint reportBy;
     };
-    std::deque<Untold> untold_;
-    std::mutex noticedMutex_;
-    std::vector<std::string> noticed_;  // ends that the platform knows, not on record yet
-    std::unordered_map<std::string, Held> held_;
+    std::deque<UnreportedEnd> unreportedEnds_;
+    std::mutex acknowledgedMutex_;
+    std::vector<std::string> acknowledgedNotices_;  // acknowledged by the platform, not on record yet
+    std::unordered_map<std::string, HeldMessage> heldMessages_;
     std::map<std::string, rules::Endpoint> endpoints_;
-    std::unordered_map<std::uint64_t, Group> destinations_;
-    std::map<std::uint64_t, TimePoint> unlisted_;  // destinations left without endpoints, since when
-    std::deque<DueAttempt> calls_;                 // due, and not yet picked
-    std::optional<TimePoint> wakeAt_;              // as the module asked for last
-    std::size_t out_ = 0;
-    bool picking_ = true, stopped_ = false;
-    bool noRoom_ = false;  // the store took no message the last time
+    std::unordered_map<std::uint64_t, DestinationState> destinations_;
+    std::map<std::uint64_t, TimePoint> unlistedSince_;  // destinations without listed endpoints
+    std::deque<DueAttempt> dueAttempts_;                // not yet with a worker
+    std::optional<TimePoint> wakeUpAt_;                 // as the decision module last requested
+    std::size_t inFlight_ = 0;
+    bool dispatching_ = true, stopped_ = false;
+    bool storeFull_ = false;  // the store refused the last message
 };
 
 }  // namespace laurelhaven::decisions
--- a/src/decisions/recorder.hpp
+++ b/src/decisions/recorder.hpp
@@ -1,6 +1,6 @@
-// What the facade puts on record: the one place that tells the store what became of attempts and messages. A
-// record that belongs to no open attempt, or to no message that is owed, changes nothing; it is a fault of
-// the program, and is counted and logged.
+// Writes the outcomes of attempts and messages to the store; nothing else in the facade does. A record that
+// matches no open attempt, or no message that is still unfinished, changes nothing: it is a bug in the
+// program and is counted and logged as a rule violation.
 #pragma once
 
 #include <optional>
@@ -12,32 +12,35 @@
 
 namespace laurelhaven::decisions {
 
-/// Calls are made with the facade's lock held.
+/// All functions are called with the facade's lock held.
 class Recorder {
   public:
     Recorder(store::Store& store, clock::RecordClock& clock, rules::Violations& violations)
         : store_(store), clock_(clock), violations_(violations) {}
 
-    /// False: it can't be kept now, and is not taken on.
-    bool take(const store::StoredMessage& message);
-    /// Before an attempt's first byte. Nothing: it can't be written, and the attempt must not begin.
-    std::optional<store::AttemptNumber> begin(const std::string& id);
-    /// The attempt, if there is one, never left.
-    void neverLeft(const std::string& id, std::optional<store::AttemptNumber> attempt);
-    /// A call's outcome: of its attempt, or of none where it failed before it made one.
-    void outcome(const std::string& id, std::optional<store::AttemptNumber> attempt,
-                 store::AttemptOutcome outcome);
-    /// Nothing more is owed for the message.
-    void done(const std::string& id);
-    void ended(const store::PendingNotice& notice);
-    /// The platform knows its end.
-    void noticed(const std::string& id);
-
-    bool behind() const { return store_.hasUnwrittenRecords(); }
+    /// Returns false if the message can't be stored now; it must not be accepted then.
+    bool accept(const store::StoredMessage& message);
+    /// Called before the first byte of an attempt. Returns nothing if the record can't be written; the
+    /// attempt must not begin then.
+    std::optional<store::AttemptNumber> beginAttempt(const std::string& id);
+    /// The attempt, if there is one, was not sent.
+    void attemptNotSent(const std::string& id, std::optional<store::AttemptNumber> attempt);
+    /// The outcome of `attempt`. Without a number, delivery failed before an attempt was made.
+    void recordOutcome(const std::string& id, std::optional<store::AttemptNumber> attempt,
+                       store::AttemptOutcome outcome);
+    /// The message needs no further outcome and is removed from the store.
+    void remove(const std::string& id);
+    /// The message ended undelivered; its notice is pending until the platform acknowledges it.
+    void recordFinalState(const store::PendingNotice& notice);
+    void noticeAcknowledged(const std::string& id);
+
+    bool hasUnwrittenRecords() const { return store_.hasUnwrittenRecords(); }
+    /// Retries the writes that failed. Returns true when nothing is left to write.
     bool flush() { return store_.flush(); }
 
   private:
-    void check(bool own, const std::string& id, const char* what);
+    /// Counts a violation if the store found nothing that the record belongs to.
+    void check(bool matched, const std::string& id, const char* violation);
 
     store::Store& store_;
     clock::RecordClock& clock_;
--- a/src/decisions/recovered_messages.cpp
+++ b/src/decisions/recovered_messages.cpp
@@ -10,54 +10,55 @@
 
 using std::chrono::milliseconds;
 
-FoundState stateOf(const store::StoredMessage& message, int grade, bool mayHaveRun) {
-    if (grade < 0) return FoundState::unknownClass;
-    if (mayHaveRun) return FoundState::mayHaveRun;
-    return message.attempts.attemptCount() > 0 ? FoundState::neverRan : FoundState::untried;
+RecoveryState stateOf(const store::StoredMessage& message, int messageClass, bool mayHaveRun) {
+    if (messageClass < 0) return RecoveryState::unknownClass;
+    if (mayHaveRun) return RecoveryState::mayHaveRun;
+    return message.attempts.attemptCount() > 0 ? RecoveryState::neverRan : RecoveryState::untried;
 }
 
-stoathub::PriorAttempts pastOf(const store::StoredMessage& message, const FoundMessage& found,
-                               store::RecordMs healthKnownUntil) {
-    stoathub::PriorAttempts past;
-    past.attempts = static_cast<int>(message.attempts.attemptCount());
-    // Danger: a failure on record may be long ago, and the partner well since; a few of them together would
-    // make an outage of nothing, and ease the busiest partners in while the backlog waits.
-    const bool unknownYet = message.attempts.lastFailureAt() > healthKnownUntil;
-    past.failures = unknownYet ? static_cast<int>(message.attempts.failures()) : 0;
-    past.mayHaveRun = found.mayHaveRun;
-    past.sinceMayHaveRun = found.sinceRan;
-    return past;
+stoathub::PriorAttempts priorAttemptsOf(const store::StoredMessage& message,
+                                        const RecoveredMessage& recovered, store::RecordMs healthKnownUntil) {
+    stoathub::PriorAttempts prior;
+    prior.attempts = static_cast<int>(message.attempts.attemptCount());
+    // A failure on record may be old and the destination healthy since. A few such failures together would be
+    // taken for an outage, and the busiest destinations would go through warm-up while their backlog waits.
+    const bool newFailure = message.attempts.lastFailureAt() > healthKnownUntil;
+    prior.failures = newFailure ? static_cast<int>(message.attempts.failures()) : 0;
+    prior.mayHaveRun = recovered.mayHaveRun;
+    prior.sinceMayHaveRun = recovered.sinceMayHaveRun;
+    return prior;
 }
 
 }  // namespace
 
-std::string_view name(FoundState state) {
+std::string_view name(RecoveryState state) {
     static constexpr std::array<std::string_view, 4> kNames{"untried", "never_ran", "may_have_run",
                                                             "unknown_class"};
     return kNames[static_cast<std::size_t>(state)];
 }
 
-FoundMessage interpret(const store::StoredMessage& message, const config::Config& config, store::RecordMs now,
-                       store::RecordMs healthKnownUntil) {
-    FoundMessage found;
-    found.grade = config::position(config.classes, message.messageClass, -1);
-    found.tenant = config::position(config.tenants, message.tenant, 0);
-    found.left = milliseconds(message.deadline - now);
+RecoveredMessage interpret(const store::StoredMessage& message, const config::Config& config,
+                           store::RecordMs now, store::RecordMs healthKnownUntil) {
+    RecoveredMessage recovered;
+    recovered.messageClass = config::position(config.classes, message.messageClass, -1);
+    recovered.tenant = config::position(config.tenants, message.tenant, 0);
+    recovered.timeLeft = milliseconds(message.deadline - now);
     const auto since = message.attempts.mayHaveRunSince();
-    found.mayHaveRun = since.has_value();
-    if (since) found.sinceRan = milliseconds(std::max<store::RecordMs>(0, now - *since));
-    found.state = stateOf(message, found.grade, found.mayHaveRun);
-    if (found.state == FoundState::unknownClass) return found;
-    auto& handed = found.handed;
-    handed.id = message.id;
-    handed.destination = message.destination;
-    handed.messageClass = found.grade;
-    const auto then = static_cast<stoathub::Effect>(std::clamp(message.effect, 0, 2));
-    const auto today = config.settings.messageClasses[static_cast<std::size_t>(found.grade)].effect;
-    handed.minimumEffect = rules::effectAfterRestart(then, today, !message.key.empty());
-    handed.timeLeft = found.left;
-    handed.priorAttempts = pastOf(message, found, healthKnownUntil);
-    return found;
+    recovered.mayHaveRun = since.has_value();
+    if (since) recovered.sinceMayHaveRun = milliseconds(std::max<store::RecordMs>(0, now - *since));
+    recovered.state = stateOf(message, recovered.messageClass, recovered.mayHaveRun);
+    if (recovered.state == RecoveryState::unknownClass) return recovered;
+    auto& event = recovered.event;
+    event.id = message.id;
+    event.destination = message.destination;
+    event.messageClass = recovered.messageClass;
+    const auto storedEffect = static_cast<stoathub::Effect>(std::clamp(message.effect, 0, 2));
+    const auto configuredEffect =
+        config.settings.messageClasses[static_cast<std::size_t>(recovered.messageClass)].effect;
+    event.minimumEffect = rules::effectAfterRestart(storedEffect, configuredEffect, !message.key.empty());
+    event.timeLeft = recovered.timeLeft;
+    event.priorAttempts = priorAttemptsOf(message, recovered, healthKnownUntil);
+    return recovered;
 }
 
 }  // namespace laurelhaven::decisions
--- a/src/decisions/recovered_messages.hpp
+++ b/src/decisions/recovered_messages.hpp
@@ -1,5 +1,5 @@
-// What a start makes of a message that an earlier life left unfinished: how much time it has left, whether it
-// may have run, and what the decision module is told of it. Pure.
+// Evaluates a message that a previous process run left unfinished: how much time it has left, whether it may
+// have run, and the event that hands it to the decision module. No I/O and no state.
 #pragma once
 
 #include <chrono>
@@ -11,27 +11,28 @@
 
 namespace laurelhaven::decisions {
 
-/// How far an earlier life came with a message.
-enum class FoundState {
-    untried,      ///< no attempt has left
-    neverRan,     ///< attempts were made, and surely none of them ran
-    mayHaveRun,   ///< one may have run
-    unknownClass  ///< the configuration knows its class no more: nobody can deliver it
+/// How far the previous runs came with a message.
+enum class RecoveryState {
+    untried,      ///< no attempt was sent
+    neverRan,     ///< attempts were made, and none of them can have run
+    mayHaveRun,   ///< an attempt may have run
+    unknownClass  ///< its class is no longer configured, so it can't be delivered
 };
-std::string_view name(FoundState state);
+/// The state as logs and metrics write it.
+std::string_view name(RecoveryState state);
 
-struct FoundMessage {
-    FoundState state = FoundState::untried;
-    int grade = -1, tenant = 0;            ///< positions in the settings; -1: not known any more
-    std::chrono::milliseconds left{};      ///< until its deadline; negative: passed meanwhile
-    std::chrono::milliseconds sinceRan{};  ///< since the first attempt that may have run was sent
+struct RecoveredMessage {
+    RecoveryState state = RecoveryState::untried;
+    int messageClass = -1, tenant = 0;     ///< positions in the settings; class -1: no longer configured
+    std::chrono::milliseconds timeLeft{};  ///< until its deadline; negative: passed between the runs
+    std::chrono::milliseconds sinceMayHaveRun{};  ///< since the first attempt that may have run was sent
     bool mayHaveRun = false;
-    stoathub::MessageAccepted handed;  ///< for the module, where the class is known
+    stoathub::MessageAccepted event;  ///< for the decision module; set only if the class is known
 };
 
-/// `now` on the time line of the record. Up to `healthKnownUntil` what was learnt of partners' health is
-/// known from elsewhere; only later failures speak of it.
-FoundMessage interpret(const store::StoredMessage& message, const config::Config& config, store::RecordMs now,
-                       store::RecordMs healthKnownUntil);
+/// `now` is the time of the record clock. The endpoints' health up to `healthKnownUntil` is known from
+/// another source; only failures after it count as evidence.
+RecoveredMessage interpret(const store::StoredMessage& message, const config::Config& config,
+                           store::RecordMs now, store::RecordMs healthKnownUntil);
 
 }  // namespace laurelhaven::decisions
--- a/tests/decisions/announced_wait_test.cpp
+++ b/tests/decisions/announced_wait_test.cpp
@@ -1,4 +1,5 @@
-// A wait that a partner has told holds from the moment it was heard, however busy the facade is just then.
+// A wait that a destination has announced applies from the time the answer was received, even while the
+// facade's lock is held by another thread.
 #include <gtest/gtest.h>
 #include <sys/syscall.h>
 #include <unistd.h>
@@ -20,8 +21,8 @@
 using namespace laurelhaven;
 using std::chrono::milliseconds;
 
-/// True once the thread waits in the kernel.
-bool sleeps(pid_t thread) {
+/// True if the thread is blocked in the kernel.
+bool isBlocked(pid_t thread) {
     std::ifstream file("/proc/self/task/" + std::to_string(thread) + "/stat");
     std::string line;
     std::getline(file, line);
@@ -39,9 +40,9 @@
             std::make_shared<const std::string>("body")};
 }
 
-// One thread has heard the wait and stands behind the facade's lock; the thread that holds the lock lets go
-// of it and takes it once more, to begin another call to the same destination.
-TEST(ToldWait, HoldsBeforeTheFacadeHasTimeForIt) {
+// One thread has received the announced wait and blocks on the facade's lock. The thread that holds the lock
+// releases it and takes it again at once, to begin another attempt to the same destination: that must fail.
+TEST(AnnouncedWait, AppliesBeforeTheFacadeLockIsTaken) {
     log::setLevel(log::Level::off);
     const auto config =
         config::fromText(check::configuration("127.0.0.1:0", "127.0.0.1:1",
@@ -49,13 +50,13 @@
                          {{"BALANCER_STATE", "/tmp"}});
     for (int round = 0; round < 20; ++round) {
         check::NoStore store;
-        std::atomic<bool> holding{false};
-        std::atomic<pid_t> hearer{0};
+        std::atomic<bool> lockHeld{false};
+        std::atomic<pid_t> receiverThread{0};
         decisions::Hooks hooks;
         hooks.messageSubmitted = [&](const decisions::Submission& in, const decisions::SubmissionResult&) {
             if (in.id != "third") return;
-            holding = true;  // the facade's lock, as hooks are called with it held
-            while (hearer == 0 || !sleeps(hearer)) std::this_thread::yield();
+            lockHeld = true;  // hooks run with the facade's lock held
+            while (receiverThread == 0 || !isBlocked(receiverThread)) std::this_thread::yield();
         };
         decisions::Decisions facade(config, store, hooks);
         facade.updateEndpoints(config.known, true);
@@ -63,21 +64,21 @@
         facade.submit(message("second"));
         const auto first = facade.takeDueAttempt(), second = facade.takeDueAttempt();
         ASSERT_TRUE(facade.tryBeginAttempt(*first));
-        std::thread hears;
-        std::thread holds([&] {
-            hears = std::thread([&] {
-                decisions::AttemptResult refused;
-                refused.status = decisions::AttemptStatus::rejected;
-                refused.wait = std::chrono::seconds(5);
-                while (!holding) std::this_thread::yield();
-                hearer = static_cast<pid_t>(syscall(SYS_gettid));
-                facade.recordResult(*first, refused);
+        std::thread receiver;
+        std::thread lockHolder([&] {
+            receiver = std::thread([&] {
+                decisions::AttemptResult rejected;
+                rejected.status = decisions::AttemptStatus::rejected;
+                rejected.wait = std::chrono::seconds(5);
+                while (!lockHeld) std::this_thread::yield();
+                receiverThread = static_cast<pid_t>(syscall(SYS_gettid));
+                facade.recordResult(*first, rejected);
             });
             facade.submit(message("third"));
             EXPECT_FALSE(facade.tryBeginAttempt(*second)) << "round " << round;
         });
-        holds.join();
-        hears.join();
+        lockHolder.join();
+        receiver.join();
         facade.stop();
     }
 }
--- a/tests/decisions/attempts_across_restarts_test.cpp
+++ b/tests/decisions/attempts_across_restarts_test.cpp
@@ -1,5 +1,5 @@
-// What an attempt came to is told by its own outcome alone: the facade and the journal over several lives,
-// each ended by a kill.
+// Only an attempt's own outcome may settle it: the facade and the journal across several process runs, each
+// ended by a kill.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -21,39 +21,39 @@
 
 constexpr std::uint64_t kDiskBytes = 3'000'000;
 
-/// One life of a sender over the records in a folder. Its end leaves them as a kill does.
-class Life {
+/// One process run of a sender on the records in a folder. Its destruction leaves them as a kill does.
+class ProcessRun {
   public:
-    explicit Life(const std::string& folder)
-        : journal_(folder, kDiskBytes), found_(journal_.recover()), facade_(config_, journal_, {}) {
+    explicit ProcessRun(const std::string& folder)
+        : journal_(folder, kDiskBytes), recovered_(journal_.recover()), facade_(config_, journal_, {}) {
         facade_.updateEndpoints(config_.known, true);
-        facade_.restore(found_.messages);
+        facade_.restore(recovered_.messages);
         ticker_ = threads::Thread("tick", [this] {
             while (facade_.tick()) {
             }
         });
     }
-    ~Life() {
+    ~ProcessRun() {
         facade_.stop();
         ticker_.join();
     }
-    void handIn(const std::string& id) {
+    void submit(const std::string& id) {
         facade_.submit(decisions::Submission{id, "key", 7, 0, 0,
                                              decisions::Steady::now() + std::chrono::seconds(20),
                                              std::make_shared<const std::string>("body")});
     }
-    DueAttempt next() { return *facade_.takeDueAttempt(); }
-    DueAttempt begin() {
-        const auto call = next();
-        EXPECT_TRUE(facade_.tryBeginAttempt(call));
-        return call;
+    DueAttempt takeDue() { return *facade_.takeDueAttempt(); }
+    DueAttempt beginAttempt() {
+        const auto due = takeDue();
+        EXPECT_TRUE(facade_.tryBeginAttempt(due));
+        return due;
     }
-    void report(const DueAttempt& call, AttemptStatus ending) {
+    void recordResult(const DueAttempt& due, AttemptStatus status) {
         decisions::AttemptResult result;
-        result.status = ending;
-        facade_.recordResult(call, result);
+        result.status = status;
+        facade_.recordResult(due, result);
     }
-    const std::vector<store::StoredMessage>& found() const { return found_.messages; }
+    const std::vector<store::StoredMessage>& recoveredMessages() const { return recovered_.messages; }
 
   private:
     const config::Config config_ =
@@ -61,14 +61,14 @@
                                               check::entry("a", "127.0.0.1:9", 7), check::settings()),
                          {{"BALANCER_STATE", "/tmp"}});
     store::Journal journal_;
-    const store::RecoveredState found_;
+    const store::RecoveredState recovered_;
     decisions::Decisions facade_;
     threads::Thread ticker_;
 };
 
-class AttemptsOverLives : public testing::Test {
+class AttemptsAcrossRestarts : public testing::Test {
   protected:
-    AttemptsOverLives() { log::setLevel(log::Level::off); }
+    AttemptsAcrossRestarts() { log::setLevel(log::Level::off); }
     std::string journalPath() const { return folder_.path + "/messages.log"; }
     std::streamoff journalBytes() const {
         return static_cast<std::streamoff>(std::filesystem::file_size(journalPath()));
@@ -81,43 +81,44 @@
     const check::Folder folder_;
 };
 
-// A call whose connect fails has made no attempt: its end says nothing of the one that was open at the kill.
-TEST_F(AttemptsOverLives, AFailedConnectLeavesTheEarlierAttemptInDoubt) {
+// A failed connect makes no attempt. If its failure settled the attempt that was open at the kill, a message
+// that may have run would count as one that never ran.
+TEST_F(AttemptsAcrossRestarts, FailedConnectDoesNotSettleEarlierAttempt) {
     {
-        Life first(folder_.path);
-        first.handIn("m");
-        first.begin();
+        ProcessRun first(folder_.path);
+        first.submit("m");
+        first.beginAttempt();
     }
     std::optional<store::RecordMs> sentAt;
     {
-        Life second(folder_.path);
-        ASSERT_EQ(second.found().size(), 1u);
-        sentAt = second.found()[0].attempts.mayHaveRunSince();
+        ProcessRun second(folder_.path);
+        ASSERT_EQ(second.recoveredMessages().size(), 1u);
+        sentAt = second.recoveredMessages()[0].attempts.mayHaveRunSince();
         ASSERT_TRUE(sentAt.has_value());
-        second.report(second.next(), AttemptStatus::noConnection);
+        second.recordResult(second.takeDue(), AttemptStatus::noConnection);
     }
-    const Life third(folder_.path);
-    ASSERT_EQ(third.found().size(), 1u);
-    EXPECT_EQ(third.found()[0].attempts.mayHaveRunSince(), sentAt);
+    const ProcessRun third(folder_.path);
+    ASSERT_EQ(third.recoveredMessages().size(), 1u);
+    EXPECT_EQ(third.recoveredMessages()[0].attempts.mayHaveRunSince(), sentAt);
 }
 
-// Damage hides the outcome of the first attempt and the record of the second. The second's outcome follows,
-// and is not the first's.
-TEST_F(AttemptsOverLives, AnOutcomeBehindDamageIsNotAnotherAttempts) {
+// Damage in the journal hides the outcome of the first attempt and the begin of the second. The outcome of
+// the second, which follows, must not be applied to the first.
+TEST_F(AttemptsAcrossRestarts, OutcomeAfterDamageIsNotAppliedToAnotherAttempt) {
     {
-        Life first(folder_.path);
-        first.handIn("m");
-        const auto call = first.begin();
+        ProcessRun first(folder_.path);
+        first.submit("m");
+        const auto due = first.beginAttempt();
         const auto from = journalBytes();
-        first.report(call, AttemptStatus::error);
-        const auto repeat = first.begin();
+        first.recordResult(due, AttemptStatus::error);
+        const auto repeat = first.beginAttempt();
         const auto to = journalBytes();
-        first.report(repeat, AttemptStatus::rejected);
+        first.recordResult(repeat, AttemptStatus::rejected);
         damage(from, to);
     }
-    const Life second(folder_.path);
-    ASSERT_EQ(second.found().size(), 1u);
-    EXPECT_TRUE(second.found()[0].attempts.mayHaveRunSince().has_value());
+    const ProcessRun second(folder_.path);
+    ASSERT_EQ(second.recoveredMessages().size(), 1u);
+    EXPECT_TRUE(second.recoveredMessages()[0].attempts.mayHaveRunSince().has_value());
 }
 
 }  // namespace
--- a/tests/decisions/duplicate_submission_test.cpp
+++ b/tests/decisions/duplicate_submission_test.cpp
@@ -1,5 +1,5 @@
-// One message handed in twice, as its client sends it once more on a new connection: what becomes of one
-// hand-in's answer takes nothing back from the other.
+// One message submitted twice, as when its client repeats the request on a new connection: a lost answer to
+// one submission must not drop the message that the other one was promised.
 #include <gtest/gtest.h>
 
 #include "check.hpp"
@@ -14,18 +14,18 @@
 using Kind = decisions::SubmissionResult::Kind;
 
 struct CountingStore : check::NoStore {
-    int over = 0;
-    bool remove(const std::string&) override { return ++over > 0; }
+    int finished = 0;
+    bool done(const std::string&) override { return ++finished > 0; }
 };
 
-class HandInTwice : public testing::Test {
+class DuplicateSubmission : public testing::Test {
   protected:
-    HandInTwice() {
+    DuplicateSubmission() {
         log::setLevel(log::Level::off);
         facade_.updateEndpoints(config_.known, true);
     }
-    ~HandInTwice() override { facade_.stop(); }
-    decisions::SubmissionResult handIn() {
+    ~DuplicateSubmission() override { facade_.stop(); }
+    decisions::SubmissionResult submit() {
         return facade_.submit(decisions::Submission{"m", "key", 7, 0, 0,
                                                     decisions::Steady::now() + std::chrono::seconds(20),
                                                     std::make_shared<const std::string>("body")});
@@ -39,24 +39,24 @@
     decisions::Decisions facade_{config_, store_, {}};
 };
 
-// The answer to the first could not be written, and the second was told that the message is taken.
-TEST_F(HandInTwice, ALostAnswerTakesNothingBackFromTheOther) {
-    ASSERT_EQ(handIn().kind, Kind::accepted);
-    const auto again = handIn();
+// The answer to the first submission could not be written, and the second was answered with `accepted`.
+TEST_F(DuplicateSubmission, OneLostAnswerKeepsTheMessage) {
+    ASSERT_EQ(submit().kind, Kind::accepted);
+    const auto again = submit();
     ASSERT_EQ(again.kind, Kind::accepted);
     EXPECT_TRUE(again.duplicate);
     facade_.withdraw("m");
-    EXPECT_EQ(facade_.heldMessages(), 1u) << "it is owed to whoever heard the second answer";
-    EXPECT_EQ(store_.over, 0);
+    EXPECT_EQ(facade_.heldMessages(), 1u) << "the client that received the second answer relies on it";
+    EXPECT_EQ(store_.finished, 0);
 }
 
-// Neither answer could be written: the message counts for nothing.
-TEST_F(HandInTwice, TwoLostAnswersLeaveNothingOwed) {
-    ASSERT_EQ(handIn().kind, Kind::accepted);
-    ASSERT_EQ(handIn().kind, Kind::accepted);
+// Neither answer could be written, so no client relies on the message.
+TEST_F(DuplicateSubmission, TwoLostAnswersDropTheMessage) {
+    ASSERT_EQ(submit().kind, Kind::accepted);
+    ASSERT_EQ(submit().kind, Kind::accepted);
     facade_.withdraw("m");
     facade_.withdraw("m");
-    EXPECT_EQ(store_.over, 1);
+    EXPECT_EQ(store_.finished, 1);
 }
 
 }  // namespace
--- a/tests/decisions/end_recording_test.cpp
+++ b/tests/decisions/end_recording_test.cpp
@@ -1,4 +1,5 @@
-// An end is on record before the platform is told of it, or the next life might decide it otherwise.
+// The end of a message is on record before it is reported to the platform; otherwise the next process run
+// might decide it differently.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -14,18 +15,18 @@
 
 using namespace laurelhaven;
 
-/// A store that can't write for a while.
+/// A store that can't write while `fails` is set.
 struct FailingStore : check::NoStore {
     std::atomic<bool> fails{false};
-    bool hasUnwrittenRecords() const override { return fails; }
+    bool behind() const override { return fails; }
     bool flush() override { return !fails; }
 };
 
-class RecordedEnds : public testing::Test {
+class EndRecording : public testing::Test {
   protected:
-    RecordedEnds() {
+    EndRecording() {
         log::setLevel(log::Level::off);
-        hooks_.messageEnded = [this](const store::PendingNotice&) { told_ = true; };
+        hooks_.messageEnded = [this](const store::PendingNotice&) { reported_ = true; };
         facade_ = std::make_unique<decisions::Decisions>(config_, store_, hooks_);
         facade_->updateEndpoints(config_.known, true);
         ticker_ = threads::Thread("tick", [this] {
@@ -33,27 +34,27 @@
             }
         });
     }
-    ~RecordedEnds() override {
+    ~EndRecording() override {
         facade_->stop();
         ticker_.join();
     }
-    /// A message whose only call runs into its deadline: its end is decided then.
-    void end(std::chrono::milliseconds within) {
+    /// Ends a message undelivered: its only attempt times out at the deadline, while the store fails.
+    void endUndelivered(std::chrono::milliseconds within) {
         facade_->submit(decisions::Submission{"m", "key", 7, 0, 0, decisions::Steady::now() + within,
                                               std::make_shared<const std::string>("body")});
-        const auto call = facade_->takeDueAttempt();
-        ASSERT_TRUE(facade_->tryBeginAttempt(*call));
+        const auto due = facade_->takeDueAttempt();
+        ASSERT_TRUE(facade_->tryBeginAttempt(*due));
         store_.fails = true;
-        decisions::AttemptResult late;
-        late.status = decisions::AttemptStatus::timedOut;
-        std::this_thread::sleep_until(call->tryUntil);
-        facade_->recordResult(*call, late);
+        decisions::AttemptResult timedOut;
+        timedOut.status = decisions::AttemptStatus::timedOut;
+        std::this_thread::sleep_until(due->tryUntil);
+        facade_->recordResult(*due, timedOut);
     }
-    bool toldWithin(std::chrono::milliseconds span) const {
+    bool reportedWithin(std::chrono::milliseconds span) const {
         const auto until = decisions::Steady::now() + span;
-        while (!told_ && decisions::Steady::now() < until)
+        while (!reported_ && decisions::Steady::now() < until)
             std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        return told_;
+        return reported_;
     }
 
     const config::Config config_ =
@@ -61,23 +62,23 @@
                                               check::entry("a", "127.0.0.1:9", 7), check::settings()),
                          {{"BALANCER_STATE", "/tmp"}});
     FailingStore store_;
-    std::atomic<bool> told_{false};
+    std::atomic<bool> reported_{false};
     decisions::Hooks hooks_;
     std::unique_ptr<decisions::Decisions> facade_;
     threads::Thread ticker_;
 };
 
-TEST_F(RecordedEnds, AreToldOnceTheyAreOnRecord) {
-    end(std::chrono::milliseconds(20));
-    EXPECT_FALSE(told_) << "told while nothing could be written";
+TEST_F(EndRecording, EndIsReportedOnceRecorded) {
+    endUndelivered(std::chrono::milliseconds(20));
+    EXPECT_FALSE(reported_) << "reported while nothing could be written";
     store_.fails = false;
-    EXPECT_TRUE(toldWithin(std::chrono::seconds(20)));
+    EXPECT_TRUE(reportedWithin(std::chrono::seconds(20)));
 }
 
-// Its time is up: it is told, whatever the disk does.
-TEST_F(RecordedEnds, DoNotWaitForTheDiskForLong) {
-    end(std::chrono::milliseconds(20));
-    EXPECT_TRUE(toldWithin(std::chrono::seconds(20)));
+// A store that stays unable to write must not hold the notice back for long.
+TEST_F(EndRecording, EndIsReportedThoughStoreKeepsFailing) {
+    endUndelivered(std::chrono::milliseconds(20));
+    EXPECT_TRUE(reportedWithin(std::chrono::seconds(20)));
 }
 
 }  // namespace
--- a/tests/laurelhaven/decisions_test.cpp
+++ b/tests/laurelhaven/decisions_test.cpp
@@ -1,5 +1,5 @@
-// The facade: what is refused, what is asked again just before the first byte, and what a restart brings
-// back.
+// Tests of the facade over the decision module: refused submissions, the check before the first byte of an
+// attempt, and recovery after a restart.
 #include "decisions/decisions.hpp"
 
 #include <algorithm>
@@ -20,48 +20,49 @@
 
 namespace {
 
-struct Memory : store::Store {
-    std::set<std::string> live, owed;
-    int attempts = 0, outcomes = 0, unsents = 0;
-    bool room = true;
+/// Counts what the facade records and checks that each message is closed once.
+struct MemoryStore : store::Store {
+    std::set<std::string> unfinished, pendingNotices;
+    int attempts = 0, outcomes = 0, notSent = 0;
+    bool accepts = true;
     store::RecoveredState recover() override { return {}; }
-    bool accept(const store::StoredMessage& m) override { return room && live.insert(m.id).second; }
+    bool accept(const store::StoredMessage& m) override { return accepts && unfinished.insert(m.id).second; }
     std::optional<store::AttemptNumber> beginAttempt(const std::string&, store::RecordMs) override {
         ++attempts;
-        if (!room) return {};
+        if (!accepts) return {};
         return static_cast<store::AttemptNumber>(attempts);
     }
-    bool attemptNotSent(const std::string&, store::AttemptNumber) override { return ++unsents > 0; }
+    bool attemptNotSent(const std::string&, store::AttemptNumber) override { return ++notSent > 0; }
     bool recordOutcome(const std::string&, store::AttemptNumber, store::AttemptOutcome) override {
         return ++outcomes > 0;
     }
     bool recordUnsentFailure(const std::string&, store::RecordMs) override { return ++outcomes > 0; }
     bool remove(const std::string& id) override {
-        CHECK(live.erase(id) == 1);
+        CHECK(unfinished.erase(id) == 1);
         return true;
     }
     bool recordFinalState(const store::PendingNotice& notice) override {
-        CHECK(live.erase(notice.id) == 1);
-        return owed.insert(notice.id).second;
+        CHECK(unfinished.erase(notice.id) == 1);
+        return pendingNotices.insert(notice.id).second;
     }
-    bool noticeAcknowledged(const std::string& id) override { return owed.erase(id) == 1; }
+    bool noticeAcknowledged(const std::string& id) override { return pendingNotices.erase(id) == 1; }
 };
 
-constexpr int kMaxOpen = 6;
+constexpr int kMaxHeldMessages = 6;
 
-struct Rig {
-    explicit Rig(const std::string& entries = check::entry("a", "127.0.0.1:9", 7))
-        : config(config::fromText(
-              check::configuration("127.0.0.1:0", "127.0.0.1:1", entries, check::settings(4, kMaxOpen)),
-              {{"BALANCER_STATE", "/tmp"}})),
-          facade(config, memory,
+struct Fixture {
+    explicit Fixture(const std::string& entries = check::entry("a", "127.0.0.1:9", 7))
+        : config(config::fromText(check::configuration("127.0.0.1:0", "127.0.0.1:1", entries,
+                                                       check::settings(4, kMaxHeldMessages)),
+                                  {{"BALANCER_STATE", "/tmp"}})),
+          facade(config, memoryStore,
                  {[this](const store::PendingNotice& notice) { ends.push_back(notice); },
                   [this](const std::string& endpoint) { closed.push_back(endpoint); }}) {
         facade.updateEndpoints(config.known, true);
     }
-    ~Rig() { facade.stop(); }
-    decisions::SubmissionResult hand(const std::string& id, milliseconds within = milliseconds(20000),
-                                     int dest = 7, const std::string& body = "body") {
+    ~Fixture() { facade.stop(); }
+    decisions::SubmissionResult submit(const std::string& id, milliseconds within = milliseconds(20000),
+                                       int dest = 7, const std::string& body = "body") {
         decisions::Submission message;
         message.id = id;
         message.key = "k";
@@ -70,163 +71,170 @@
         message.body = std::make_shared<const std::string>(body);
         return facade.submit(message);
     }
-    void list(const std::string& entries) {
-        std::string why;
-        facade.updateEndpoints(*listing::parse(check::list(2, false, entries), why));
+    void updateList(const std::string& entries) {
+        std::string error;
+        facade.updateEndpoints(*listing::parse(check::list(2, false, entries), error));
     }
     void tickUntil(const std::function<bool()>& done) {
         while (!done()) CHECK(facade.tick());
     }
 
-    Memory memory;
+    MemoryStore memoryStore;
     config::Config config;
     std::vector<store::PendingNotice> ends;
     std::vector<std::string> closed;
     decisions::Decisions facade;
 };
 
-AttemptResult ended(AttemptStatus ending, milliseconds wait = {}) {
-    return AttemptResult{ending, false, wait, {}, {}};
+AttemptResult resultOf(AttemptStatus status, milliseconds wait = {}) {
+    return AttemptResult{status, false, wait, {}, {}};
 }
 
-void deliveredIsForgotten() {
-    Rig rig;
-    CHECK(rig.hand("m").kind == Kind::accepted && rig.memory.live.count("m"));
-    CHECK(rig.hand("m").kind == Kind::accepted &&
-          rig.facade.heldMessages() == 1);  // the same request once more
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(call->id == "m" && call->endpoint == "a" && call->address == "127.0.0.1:9" &&
-          *call->body == "body");
-    CHECK(rig.facade.tryBeginAttempt(*call) && rig.facade.tryBeginAttempt(*call) && rig.memory.attempts == 1);
-    rig.facade.recordResult(*call, ended(AttemptStatus::delivered));
-    CHECK(rig.facade.heldMessages() == 0 && rig.facade.attemptsInFlight() == 0 && rig.memory.live.empty() &&
-          rig.ends.empty());
-    CHECK(!rig.facade.tryBeginAttempt(*call));
+void deliveredMessageIsRemoved() {
+    Fixture fixture;
+    CHECK(fixture.submit("m").kind == Kind::accepted && fixture.memoryStore.unfinished.count("m"));
+    // The client repeats its request.
+    CHECK(fixture.submit("m").kind == Kind::accepted && fixture.facade.heldMessages() == 1);
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(due->id == "m" && due->endpoint == "a" && due->address == "127.0.0.1:9" && *due->body == "body");
+    CHECK(fixture.facade.tryBeginAttempt(*due) && fixture.facade.tryBeginAttempt(*due) &&
+          fixture.memoryStore.attempts == 1);
+    fixture.facade.recordResult(*due, resultOf(AttemptStatus::delivered));
+    CHECK(fixture.facade.heldMessages() == 0 && fixture.facade.attemptsInFlight() == 0 &&
+          fixture.memoryStore.unfinished.empty() && fixture.ends.empty());
+    CHECK(!fixture.facade.tryBeginAttempt(*due));
 }
 
 void refusals() {
-    Rig rig;
-    for (int i = 0; i < kMaxOpen; ++i) CHECK(rig.hand("m" + std::to_string(i)).kind == Kind::accepted);
-    const auto full = rig.hand("more");
-    CHECK(full.kind == Kind::refused && full.retryAfter.count() > 0 && !rig.memory.live.count("more"));
-    Rig other;
-    CHECK(other.hand("late", milliseconds(0)).kind == Kind::refused);
-    // Refused in its own turn: what was stored for it is over on record too.
-    const auto spent = other.hand("spent", milliseconds(2));
+    Fixture fixture;
+    for (int i = 0; i < kMaxHeldMessages; ++i)
+        CHECK(fixture.submit("m" + std::to_string(i)).kind == Kind::accepted);
+    const auto full = fixture.submit("more");
+    CHECK(full.kind == Kind::refused && full.retryAfter.count() > 0 &&
+          !fixture.memoryStore.unfinished.count("more"));
+    Fixture other;
+    CHECK(other.submit("late", milliseconds(0)).kind == Kind::refused);
+    // Refused in the turn of its submission: the record made for it is closed too.
+    const auto spent = other.submit("spent", milliseconds(2));
     CHECK(spent.kind == Kind::refused && spent.retryAfter.count() > 0);
-    CHECK(other.memory.live.empty() && other.ends.empty() && other.facade.heldMessages() == 0);
-    other.memory.room = false;
-    const auto stored = other.hand("m");
+    CHECK(other.memoryStore.unfinished.empty() && other.ends.empty() && other.facade.heldMessages() == 0);
+    other.memoryStore.accepts = false;
+    const auto stored = other.submit("m");
     CHECK(stored.kind == Kind::refused && stored.retryAfter.count() > 0 && other.facade.heldMessages() == 0);
 }
 
-// An id that is open already belongs to its first hand-in, and a destination must be one of the list's.
-void repeatsAndUnknownDestinations() {
-    Rig rig;
-    CHECK(!rig.hand("m").duplicate && rig.hand("m").duplicate && rig.facade.heldMessages() == 1);
+// The id of a held message belongs to that message, and only destinations on the list are accepted.
+void duplicateIdsAndUnknownDestinations() {
+    Fixture fixture;
+    CHECK(!fixture.submit("m").duplicate && fixture.submit("m").duplicate &&
+          fixture.facade.heldMessages() == 1);
     for (int dest = 100; dest < 2100; ++dest) {
-        const auto verdict = rig.hand("x" + std::to_string(dest), milliseconds(20000), dest);
-        CHECK(verdict.kind == Kind::refused && verdict.retryAfter.count() > 0);
+        const auto result = fixture.submit("x" + std::to_string(dest), milliseconds(20000), dest);
+        CHECK(result.kind == Kind::refused && result.retryAfter.count() > 0);
     }
-    CHECK(rig.facade.heldMessages() == 1 && rig.memory.live.size() == 1 &&
-          rig.facade.tableSizes().destinations == 1);
-    // Another message under that id: its client must not hear that it was taken on.
-    CHECK(rig.hand("m", milliseconds(20000), 7, "other").kind == Kind::conflict);
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(*call->body == "body" && rig.facade.tryBeginAttempt(*call));
-    // It was handed in twice, and told so: it is owed until neither of the two may have heard that.
-    rig.facade.withdraw("m");
-    CHECK(rig.memory.live.size() == 1);
-    rig.facade.withdraw("m");
-    CHECK(rig.memory.live.empty());
-    CHECK(rig.hand("m").kind == Kind::conflict);  // over, but its call is still out
+    CHECK(fixture.facade.heldMessages() == 1 && fixture.memoryStore.unfinished.size() == 1 &&
+          fixture.facade.tableSizes().destinations == 1);
+    // A different message with the same id must not be answered with `accepted`.
+    CHECK(fixture.submit("m", milliseconds(20000), 7, "other").kind == Kind::conflict);
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(*due->body == "body" && fixture.facade.tryBeginAttempt(*due));
+    // Two submissions were accepted, so the message is held until both are withdrawn.
+    fixture.facade.withdraw("m");
+    CHECK(fixture.memoryStore.unfinished.size() == 1);
+    fixture.facade.withdraw("m");
+    CHECK(fixture.memoryStore.unfinished.empty());
+    CHECK(fixture.submit("m").kind == Kind::conflict);  // ended, but its attempt is still in flight
 }
 
-// Endpoints come and go under new ids, at addresses seen before: no connection outlives its endpoint, and
-// nothing is remembered of it.
-void endpointsThatGoAreForgotten() {
-    Rig rig;
+// Endpoints come and go under new ids at the same address. The idle connections of each must be closed and
+// its table entries removed, or both would grow without bound.
+void removedEndpointsLeaveNoState() {
+    Fixture fixture;
     for (int i = 0; i < 3000; ++i) {
         const auto next = check::entry("e" + std::to_string(i + 1), "127.0.0.1:9", 7);
-        rig.list(next + "," + check::entry(i ? "e" + std::to_string(i) : "a", "127.0.0.1:9", 7, "DELETED"));
+        fixture.updateList(next + "," +
+                           check::entry(i ? "e" + std::to_string(i) : "a", "127.0.0.1:9", 7, "DELETED"));
     }
-    CHECK(rig.facade.tableSizes().endpoints == 1 && rig.closed.size() == 3000 && rig.closed[1] == "e1");
-    rig.hand("m");
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(call->endpoint == "e3000" && rig.facade.tryBeginAttempt(*call));
-    rig.list(check::entry("e3000", "127.0.0.1:9", 7, "DRAINING"));
-    CHECK(rig.closed.size() == 3001);
-    rig.facade.recordResult(*call, ended(AttemptStatus::rejected, milliseconds(20)));
-    CHECK(rig.facade.tableSizes().waits == 1);
+    CHECK(fixture.facade.tableSizes().endpoints == 1 && fixture.closed.size() == 3000 &&
+          fixture.closed[1] == "e1");
+    fixture.submit("m");
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(due->endpoint == "e3000" && fixture.facade.tryBeginAttempt(*due));
+    fixture.updateList(check::entry("e3000", "127.0.0.1:9", 7, "DRAINING"));
+    CHECK(fixture.closed.size() == 3001);
+    fixture.facade.recordResult(*due, resultOf(AttemptStatus::rejected, milliseconds(20)));
+    CHECK(fixture.facade.tableSizes().waits == 1);
     std::this_thread::sleep_for(milliseconds(30));
-    rig.list(check::entry("f", "127.0.0.1:9", 7));
-    CHECK(rig.facade.tableSizes().waits == 0);
+    fixture.updateList(check::entry("f", "127.0.0.1:9", 7));
+    CHECK(fixture.facade.tableSizes().waits == 0);
 }
 
-// Each of these came between the decision and the first byte.
-void askedAgainBeforeTheFirstByte() {
-    for (int why = 0; why < 6; ++why) {
-        Rig rig;
-        rig.hand("m");
-        rig.hand("n");
-        const auto m = rig.facade.takeDueAttempt(), n = rig.facade.takeDueAttempt();
-        if (why == 0) {
-            CHECK(rig.facade.tryBeginAttempt(*m));
-            rig.facade.recordResult(*m, ended(AttemptStatus::rejected, milliseconds(900)));
+// Each case changes something between the decision and the first byte; the attempt must not begin then.
+void attemptIsCheckedBeforeFirstByte() {
+    for (int change = 0; change < 6; ++change) {
+        Fixture fixture;
+        fixture.submit("m");
+        fixture.submit("n");
+        const auto m = fixture.facade.takeDueAttempt(), n = fixture.facade.takeDueAttempt();
+        if (change == 0) {
+            CHECK(fixture.facade.tryBeginAttempt(*m));
+            fixture.facade.recordResult(*m, resultOf(AttemptStatus::rejected, milliseconds(900)));
         }
-        if (why == 1) rig.list(check::entry("a", "127.0.0.1:9", 7, "DRAINING"));
-        if (why == 2) rig.list(check::entry("a", "127.0.0.1:9", 7, "DELETED"));
-        if (why == 3) rig.facade.withdraw("n");
-        if (why == 4) rig.list(check::entry("a", "127.0.0.1:10", 7));  // it listens elsewhere now
-        if (why == 5) rig.memory.room = false;                         // its attempt can't be put on record
-        const int before = rig.memory.outcomes;
-        CHECK(!rig.facade.tryBeginAttempt(*n));
-        rig.facade.recordResult(*n, ended(AttemptStatus::unsent));
-        CHECK(rig.memory.outcomes == before && rig.facade.attemptsInFlight() == (why == 0 ? 0u : 1u));
-        CHECK(rig.facade.heldMessages() == (why == 3 ? 1u : 2u));
+        if (change == 1) fixture.updateList(check::entry("a", "127.0.0.1:9", 7, "DRAINING"));
+        if (change == 2) fixture.updateList(check::entry("a", "127.0.0.1:9", 7, "DELETED"));
+        if (change == 3) fixture.facade.withdraw("n");
+        if (change == 4) fixture.updateList(check::entry("a", "127.0.0.1:10", 7));  // its address changed
+        if (change == 5) fixture.memoryStore.accepts = false;  // the attempt can't be recorded
+        const int before = fixture.memoryStore.outcomes;
+        CHECK(!fixture.facade.tryBeginAttempt(*n));
+        fixture.facade.recordResult(*n, resultOf(AttemptStatus::unsent));
+        CHECK(fixture.memoryStore.outcomes == before &&
+              fixture.facade.attemptsInFlight() == (change == 0 ? 0u : 1u));
+        CHECK(fixture.facade.heldMessages() == (change == 3 ? 1u : 2u));
     }
 }
 
-void toldWaitHoldsEveryMessage() {
-    Rig rig;
-    rig.hand("m");
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(rig.facade.tryBeginAttempt(*call));
-    const auto told = decisions::Steady::now();
-    rig.facade.recordResult(*call, ended(AttemptStatus::rejected, milliseconds(300)));
-    rig.hand("n");
+void announcedWaitAppliesToWholeDestination() {
+    Fixture fixture;
+    fixture.submit("m");
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(fixture.facade.tryBeginAttempt(*due));
+    const auto announcedAt = decisions::Steady::now();
+    fixture.facade.recordResult(*due, resultOf(AttemptStatus::rejected, milliseconds(300)));
+    fixture.submit("n");
     std::thread ticker([&] {
-        while (rig.facade.tick()) {
+        while (fixture.facade.tick()) {
         }
     });
-    CHECK(rig.facade.takeDueAttempt());
-    CHECK(decisions::Steady::now() - told >= milliseconds(300));
-    rig.facade.stop();
+    CHECK(fixture.facade.takeDueAttempt());
+    CHECK(decisions::Steady::now() - announcedAt >= milliseconds(300));
+    fixture.facade.stop();
     ticker.join();
 }
 
-void endsComeOnceAndAtOnce() {
-    Rig rig;
-    rig.list(check::entry("b", "127.0.0.1:9", 8));
-    rig.list(check::entry("b", "127.0.0.1:9", 8, "DELETED"));
-    CHECK(rig.hand("nowhere", milliseconds(60), 8).kind == Kind::accepted);  // no endpoint is listed just now
-    rig.tickUntil([&] { return !rig.ends.empty(); });
-    CHECK(rig.ends.size() == 1 && rig.ends[0].id == "nowhere" &&
-          rig.ends[0].finalState == store::FinalState::returned);
-    CHECK(rig.memory.owed.count("nowhere") && rig.facade.heldMessages() == 0);
-    rig.facade.acknowledgeNotices(std::vector<std::string>{"nowhere"});
-    CHECK(rig.memory.owed.empty());
-    CHECK(rig.hand("hung", milliseconds(150)).kind == Kind::accepted);
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(rig.facade.tryBeginAttempt(*call) &&
-          call->tryUntil <= decisions::Steady::now() + milliseconds(150));
-    std::this_thread::sleep_until(call->tryUntil);
-    rig.facade.recordResult(*call, ended(AttemptStatus::timedOut));
-    CHECK(rig.ends.size() == 2 && rig.ends[1].id == "hung" && rig.facade.heldMessages() == 0);
+void endsAreReportedOnceAndPromptly() {
+    Fixture fixture;
+    fixture.updateList(check::entry("b", "127.0.0.1:9", 8));
+    fixture.updateList(check::entry("b", "127.0.0.1:9", 8, "DELETED"));
+    // Accepted although no endpoint of the destination is listed at present.
+    CHECK(fixture.submit("nowhere", milliseconds(60), 8).kind == Kind::accepted);
+    fixture.tickUntil([&] { return !fixture.ends.empty(); });
+    CHECK(fixture.ends.size() == 1 && fixture.ends[0].id == "nowhere" &&
+          fixture.ends[0].finalState == store::FinalState::returned);
+    CHECK(fixture.memoryStore.pendingNotices.count("nowhere") && fixture.facade.heldMessages() == 0);
+    fixture.facade.acknowledgeNotices(std::vector<std::string>{"nowhere"});
+    CHECK(fixture.memoryStore.pendingNotices.empty());
+    CHECK(fixture.submit("hung", milliseconds(150)).kind == Kind::accepted);
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(fixture.facade.tryBeginAttempt(*due) &&
+          due->tryUntil <= decisions::Steady::now() + milliseconds(150));
+    std::this_thread::sleep_until(due->tryUntil);
+    fixture.facade.recordResult(*due, resultOf(AttemptStatus::timedOut));
+    CHECK(fixture.ends.size() == 2 && fixture.ends[1].id == "hung" && fixture.facade.heldMessages() == 0);
 }
 
-store::StoredMessage left(const std::string& id, store::RecordMs within, std::uint32_t attempts,
-                          store::RecordMs ranAgo) {
+store::StoredMessage recoveredMessage(const std::string& id, store::RecordMs within, std::uint32_t attempts,
+                              store::RecordMs ranAgo) {
     const auto now =
         std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
     store::StoredMessage m;
@@ -243,88 +251,90 @@
     return m;
 }
 
-void restartKeepsWhatIsOwed() {
-    Rig rig;
-    const std::vector<store::StoredMessage> all{left("late", -5, 0, 0), left("spent", 9000, 8, 100),
-                                                left("window", 9000, 1, 15001), left("fresh", 9000, 0, 0),
-                                                left("again", 9000, 2, 5000)};
-    for (const auto& m : all) rig.memory.live.insert(m.id);
-    CHECK(rig.facade.restore(all) == 1);  // told apart: its deadline passed while nothing ran
-    // Time, attempts or key window used up: their ends come at once, not at the deadline.
+void restartRecoversUnfinishedMessages() {
+    Fixture fixture;
+    const std::vector<store::StoredMessage> all{
+        recoveredMessage("late", -5, 0, 0), recoveredMessage("spent", 9000, 8, 100),
+        recoveredMessage("window", 9000, 1, 15001), recoveredMessage("fresh", 9000, 0, 0),
+        recoveredMessage("again", 9000, 2, 5000)};
+    for (const auto& m : all) fixture.memoryStore.unfinished.insert(m.id);
+    CHECK(fixture.facade.restore(all) == 1);  // "late": its deadline passed between the runs
+    // Time, attempts or key window used up: these messages end at once, not at the deadline.
     std::set<std::string> ends;
-    for (const auto& end : rig.ends) ends.insert(end.id);
+    for (const auto& end : fixture.ends) ends.insert(end.id);
     CHECK((ends == std::set<std::string>{"late", "spent", "window"}));
-    CHECK(rig.facade.takeDueAttempt()->id == "fresh");
-    while (rig.facade.attemptsInFlight() < 2) rig.facade.tick();  // after its backoff
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(call->id == "again" && call->attempt == 2 && rig.facade.tryBeginAttempt(*call));
-    rig.facade.recordResult(*call, ended(AttemptStatus::delivered));
-    CHECK(rig.memory.live.size() == 1 && rig.ends.size() == 3);
+    CHECK(fixture.facade.takeDueAttempt()->id == "fresh");
+    while (fixture.facade.attemptsInFlight() < 2) fixture.facade.tick();  // after its backoff
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(due->id == "again" && due->attempt == 2 && fixture.facade.tryBeginAttempt(*due));
+    fixture.facade.recordResult(*due, resultOf(AttemptStatus::delivered));
+    CHECK(fixture.memoryStore.unfinished.size() == 1 && fixture.ends.size() == 3);
 }
 
-// Failures on record make an outage after a restart, unless what the last life knew of outages was kept: they
-// may be long ago.
-void failuresThatWereKnownDoNotCountTwice() {
+// Failures on record count as an outage after a restart only if they are newer than the saved health of the
+// destinations: older ones may have been overcome since.
+void failuresCoveredBySavedHealthAreIgnored() {
     const auto down = [](store::RecordMs knownFor) {
-        Rig rig;
+        Fixture fixture;
         std::vector<store::StoredMessage> all;
         for (int i = 0; i < 3; ++i) {
-            all.push_back(left("m" + std::to_string(i), 9000, 1, 5000));
+            all.push_back(recoveredMessage("m" + std::to_string(i), 9000, 1, 5000));
             auto attempts = all.back().attempts.state();
             attempts.failures = 1;
             attempts.failedAt = attempts.sentAt;
             all.back().attempts = store::AttemptHistory(attempts);
-            rig.memory.live.insert(all.back().id);
+            fixture.memoryStore.unfinished.insert(all.back().id);
         }
-        rig.facade.restore(all, knownFor == 0 ? 0 : all.back().attempts.lastFailureAt() + knownFor);
-        const auto standings = rig.facade.destinationHealth();
-        return std::any_of(standings.begin(), standings.end(),
+        fixture.facade.restore(all, knownFor == 0 ? 0 : all.back().attempts.lastFailureAt() + knownFor);
+        const auto health = fixture.facade.destinationHealth();
+        return std::any_of(health.begin(), health.end(),
                            [](const auto& s) { return s.destination == 7 && s.down; });
     };
     CHECK(down(0) && down(-1000) && !down(1000));
 }
 
-// A connect takes its time, and the receivers forget the key meanwhile.
-void aRepeatThatMissedItsWindowDoesNotBegin() {
-    Rig rig;
-    const auto again = left("again", 9000, 1, 14200);  // of 15 s
-    rig.memory.live.insert("again");
-    rig.facade.restore({again});
-    while (rig.facade.attemptsInFlight() < 1) rig.facade.tick();  // after its backoff
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(rig.facade.tryBeginAttempt(*call));
+// The key window may pass during a slow connect. A repeat sent after it could take effect twice.
+void repeatOutsideKeyWindowDoesNotBegin() {
+    Fixture fixture;
+    const auto again = recoveredMessage("again", 9000, 1, 14200);  // the key window is 15 s
+    fixture.memoryStore.unfinished.insert("again");
+    fixture.facade.restore({again});
+    while (fixture.facade.attemptsInFlight() < 1) fixture.facade.tick();  // after its backoff
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(fixture.facade.tryBeginAttempt(*due));
     std::this_thread::sleep_for(milliseconds(900));
-    CHECK(call->tryUntil > decisions::Steady::now() && !rig.facade.tryBeginAttempt(*call));
+    CHECK(due->tryUntil > decisions::Steady::now() && !fixture.facade.tryBeginAttempt(*due));
 }
 
-// A restart with a configuration that has fewer classes: nobody would ever end what was taken for the others.
-void aClassThatIsNoMoreEndsItsMessages() {
-    Rig rig;
-    auto ran = left("ran", 9000, 1, 5000), fresh = left("fresh", 9000, 0, 0),
-         known = left("known", 9000, 0, 0);
+// After a restart with fewer configured classes, the messages of the removed classes must end, as the
+// decision module ignores them.
+void messagesOfRemovedClassEnd() {
+    Fixture fixture;
+    auto ran = recoveredMessage("ran", 9000, 1, 5000), fresh = recoveredMessage("fresh", 9000, 0, 0),
+         known = recoveredMessage("known", 9000, 0, 0);
     ran.messageClass = fresh.messageClass = "gone";
-    for (const auto* m : {&ran, &fresh, &known}) rig.memory.live.insert(m->id);
-    rig.facade.restore({ran, fresh, known});
-    CHECK(rig.ends.size() == 2 && rig.facade.heldMessages() == 1);
-    CHECK(rig.ends[0].id == "ran" && rig.ends[0].finalState == store::FinalState::failed);
-    CHECK(rig.ends[1].id == "fresh" && rig.ends[1].finalState == store::FinalState::returned);
+    for (const auto* m : {&ran, &fresh, &known}) fixture.memoryStore.unfinished.insert(m->id);
+    fixture.facade.restore({ran, fresh, known});
+    CHECK(fixture.ends.size() == 2 && fixture.facade.heldMessages() == 1);
+    CHECK(fixture.ends[0].id == "ran" && fixture.ends[0].finalState == store::FinalState::failed);
+    CHECK(fixture.ends[1].id == "fresh" && fixture.ends[1].finalState == store::FinalState::returned);
 }
 
-// The classes stand in another order than when these were taken, or have another effect: each is still of its
-// own class, and repeated only if both the effect that it was taken with and that of now allow it.
-void aClassIsKnownByItsNameAndRepeatedIfBothEffectsAllow() {
+// The classes have another order or effect than when the messages were accepted. Each message keeps its
+// class, and is repeated only if both the stored and the configured effect allow it.
+void repeatNeedsStoredAndConfiguredEffect() {
     struct Case {
-        const char* grade;
+        const char* messageClass;
         int effect;
         bool ran, key;
-        bool called;  // or failed at once
+        bool attempted;  // otherwise failed at once
     };
     for (const Case& c : {Case{"alert", 2, true, true, false}, Case{"alert", 2, false, true, true},
                           Case{"notice", 1, true, true, true}, Case{"notice", 2, true, true, false},
                           Case{"notice", 0, true, true, true}, Case{"notice", 0, true, false, false},
                           Case{"alert", 0, true, true, false}, Case{"plain", 0, true, false, true},
                           Case{"plain", 1, true, true, false}, Case{"plain", 2, true, true, false}}) {
-        auto settings = check::settings(4, kMaxOpen);
+        auto settings = check::settings(4, kMaxHeldMessages);
         const std::string begin = R"("grades":[)", span = R"("give-up-ns":28000000000,"slo-ns":4000000000},)";
         settings.insert(settings.find(begin) + begin.size(),
                         R"({"name":"alert","effect":"side_effect",)" + span +
@@ -332,68 +342,70 @@
         const auto config = config::fromText(
             check::configuration("127.0.0.1:0", "127.0.0.1:1", check::entry("a", "127.0.0.1:9", 7), settings),
             {{"BALANCER_STATE", "/tmp"}});
-        Memory memory;
+        MemoryStore memoryStore;
         std::vector<store::PendingNotice> ends;
-        decisions::Decisions facade(config, memory,
+        decisions::Decisions facade(config, memoryStore,
                                     {[&](const store::PendingNotice& e) { ends.push_back(e); }, {}});
         facade.updateEndpoints(config.known, true);
-        auto m = left("m", 9000, c.ran ? 1 : 0, c.ran ? 1000 : 0);
-        m.messageClass = c.grade;
+        auto m = recoveredMessage("m", 9000, c.ran ? 1 : 0, c.ran ? 1000 : 0);
+        m.messageClass = c.messageClass;
         m.effect = c.effect;
         if (!c.key) m.key.clear();
-        memory.live.insert("m");
+        memoryStore.unfinished.insert("m");
         facade.restore({m});
         while (ends.empty() && facade.attemptsInFlight() == 0) CHECK(facade.tick());
-        CHECK(ends.empty() == c.called && (facade.attemptsInFlight() == 1) == c.called);
-        CHECK(c.called || ends[0].finalState == store::FinalState::failed);
+        CHECK(ends.empty() == c.attempted && (facade.attemptsInFlight() == 1) == c.attempted);
+        CHECK(c.attempted || ends[0].finalState == store::FinalState::failed);
         facade.stop();
     }
 }
 
-// A wait that outlasts the message: its end comes at once, with the wait, and not near its deadline.
-void whatIsGivenUpIsAnsweredAtOnce() {
-    Rig rig;
-    rig.hand("m");
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(rig.facade.tryBeginAttempt(*call));
-    rig.facade.recordResult(*call, ended(AttemptStatus::rejected, milliseconds(60000)));
-    CHECK(rig.ends.size() == 1 && rig.ends[0].finalState == store::FinalState::returned &&
-          rig.ends[0].retryAfterMs == 3000);
-    const auto verdict = rig.hand("n");
-    CHECK(verdict.kind == Kind::refused && verdict.retryAfter == milliseconds(3000));
-    CHECK(rig.facade.heldMessages() == 0 && rig.memory.live.empty());
+// The announced wait is longer than the message's remaining time: the message ends at once and the
+// notice says when to submit again, instead of ending near its deadline.
+void messageThatCannotMeetItsDeadlineEndsAtOnce() {
+    Fixture fixture;
+    fixture.submit("m");
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(fixture.facade.tryBeginAttempt(*due));
+    fixture.facade.recordResult(*due, resultOf(AttemptStatus::rejected, milliseconds(60000)));
+    CHECK(fixture.ends.size() == 1 && fixture.ends[0].finalState == store::FinalState::returned &&
+          fixture.ends[0].retryAfterMs == 3000);
+    const auto result = fixture.submit("n");
+    CHECK(result.kind == Kind::refused && result.retryAfter == milliseconds(3000));
+    CHECK(fixture.facade.heldMessages() == 0 && fixture.memoryStore.unfinished.empty());
 }
 
-void stoppingLeavesTheRestToTheStore() {
-    Rig rig;
-    rig.hand("m");
-    const auto call = rig.facade.takeDueAttempt();
-    CHECK(rig.facade.tryBeginAttempt(*call));
-    rig.facade.stopDispatching();
-    CHECK(!rig.facade.takeDueAttempt());
-    rig.facade.stop();
-    CHECK(call->cancelToken.stop_requested() && !rig.facade.tick());
-    rig.facade.recordResult(*call, ended(AttemptStatus::cancelled));
-    CHECK(rig.memory.live.count("m") && rig.memory.outcomes == 0 && rig.ends.empty());
-    CHECK(rig.hand("n").kind == Kind::refused && !rig.memory.live.count("n"));
+void stopLeavesUnfinishedMessagesInStore() {
+    Fixture fixture;
+    fixture.submit("m");
+    const auto due = fixture.facade.takeDueAttempt();
+    CHECK(fixture.facade.tryBeginAttempt(*due));
+    fixture.facade.stopDispatching();
+    CHECK(!fixture.facade.takeDueAttempt());
+    fixture.facade.stop();
+    CHECK(due->cancelToken.stop_requested() && !fixture.facade.tick());
+    fixture.facade.recordResult(*due, resultOf(AttemptStatus::cancelled));
+    CHECK(fixture.memoryStore.unfinished.count("m") && fixture.memoryStore.outcomes == 0 &&
+          fixture.ends.empty());
+    CHECK(fixture.submit("n").kind == Kind::refused && !fixture.memoryStore.unfinished.count("n"));
 }
 
 }  // namespace
 
 int main() {
     log::setLevel(log::Level::off);
-    deliveredIsForgotten();
+    deliveredMessageIsRemoved();
     refusals();
-    repeatsAndUnknownDestinations();
-    endpointsThatGoAreForgotten();
-    askedAgainBeforeTheFirstByte();
-    toldWaitHoldsEveryMessage();
-    endsComeOnceAndAtOnce();
-    restartKeepsWhatIsOwed();
-    failuresThatWereKnownDoNotCountTwice();
-    aRepeatThatMissedItsWindowDoesNotBegin();
-    aClassThatIsNoMoreEndsItsMessages();
-    aClassIsKnownByItsNameAndRepeatedIfBothEffectsAllow();
-    whatIsGivenUpIsAnsweredAtOnce();
-    stoppingLeavesTheRestToTheStore();
+    duplicateIdsAndUnknownDestinations();
+    removedEndpointsLeaveNoState();
+    attemptIsCheckedBeforeFirstByte();
+    announcedWaitAppliesToWholeDestination();
+    endsAreReportedOnceAndPromptly();
+    restartRecoversUnfinishedMessages();
+    failuresCoveredBySavedHealthAreIgnored();
+    repeatOutsideKeyWindowDoesNotBegin();
+    messagesOfRemovedClassEnd();
+    repeatNeedsStoredAndConfiguredEffect();
+    messageThatCannotMeetItsDeadlineEndsAtOnce();
+    stopLeavesUnfinishedMessagesInStore();
 }
