--- a/tests/decisions/duplicate_submission_test.cpp
+++ b/tests/decisions/duplicate_submission_test.cpp
@@ -14,8 +14,8 @@
 using Kind = decisions::SubmissionResult::Kind;
 
 struct CountingStore : check::NoStore {
-    int finished = 0;
-    bool done(const std::string&) override { return ++finished > 0; }
+    int removed = 0;
+    bool remove(const std::string&) override { return ++removed > 0; }
 };
 
 class DuplicateSubmission : public testing::Test {
@@ -47,7 +47,7 @@
     EXPECT_TRUE(again.duplicate);
     facade_.withdraw("m");
     EXPECT_EQ(facade_.heldMessages(), 1u) << "the client that received the second answer relies on it";
-    EXPECT_EQ(store_.finished, 0);
+    EXPECT_EQ(store_.removed, 0);
 }
 
 // Neither answer could be written, so no client relies on the message.
@@ -56,7 +56,7 @@
     ASSERT_EQ(submit().kind, Kind::accepted);
     facade_.withdraw("m");
     facade_.withdraw("m");
-    EXPECT_EQ(store_.finished, 1);
+    EXPECT_EQ(store_.removed, 1);
 }
 
 }  // namespace
--- a/tests/decisions/end_recording_test.cpp
+++ b/tests/decisions/end_recording_test.cpp
@@ -18,7 +18,7 @@
 /// A store that can't write while `fails` is set.
 struct FailingStore : check::NoStore {
     std::atomic<bool> fails{false};
-    bool behind() const override { return fails; }
+    bool hasUnwrittenRecords() const override { return fails; }
     bool flush() override { return !fails; }
 };
 
--- a/tests/laurelhaven/decisions_test.cpp
+++ b/tests/laurelhaven/decisions_test.cpp
@@ -234,7 +234,7 @@
 }
 
 store::StoredMessage recoveredMessage(const std::string& id, store::RecordMs within, std::uint32_t attempts,
-                              store::RecordMs ranAgo) {
+                                      store::RecordMs ranAgo) {
     const auto now =
         std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
     store::StoredMessage m;
--- a/tests/laurelhaven/no_store.hpp
+++ b/tests/laurelhaven/no_store.hpp
@@ -16,7 +16,7 @@
     }
     bool attemptNotSent(const std::string&, laurelhaven::store::AttemptNumber) override { return true; }
     bool recordOutcome(const std::string&, laurelhaven::store::AttemptNumber,
-                laurelhaven::store::AttemptOutcome) override {
+                       laurelhaven::store::AttemptOutcome) override {
         return true;
     }
     bool recordUnsentFailure(const std::string&, laurelhaven::store::RecordMs) override { return true; }
