--- a/tests/laurelhaven/no_store.hpp
+++ b/tests/laurelhaven/no_store.hpp
@@ -1,4 +1,4 @@
-// A store that takes everything and keeps nothing: for tests and benches of what stands above one.
+// A store that accepts everything and keeps nothing, for tests and benchmarks of code that needs a store.
 #pragma once
 
 #include <string>
