--- a/src/store/attempt_history.cpp
+++ b/src/store/attempt_history.cpp
@@ -5,22 +5,24 @@
 namespace laurelhaven::store {
 namespace {
 
-constexpr RecordMs kEarliestTime = 1;
+constexpr RecordMs kEarliestTime = 1;  // 0 means that no attempt may have run
 
 }  // namespace
 
 void AttemptHistory::begin(AttemptNumber number, RecordMs at) {
-    // Danger: the attempt before this one was open when an earlier life ended. That this one is turned away
-    // does not undo it.
+    // An attempt that a previous run left open may have run; a rejection of this one must not revoke that.
     closeAfterRestart();
-    // Numbers that were passed over are attempts whose records are damaged.
+    // Skipped numbers belong to attempts whose records are damaged.
     if (!registerUnknownNumber(number)) ++state_.attemptCount;
     state_.openNumber = number;
     state_.sentAt = at;
 }
 
 bool AttemptHistory::attemptNotSent(AttemptNumber number) {
-    if (!isOpenAttempt(number)) return registerUnknownNumber(number), false;
+    if (!isOpenAttempt(number)) {
+        registerUnknownNumber(number);
+        return false;
+    }
     state_.openNumber = 0;
     --state_.attemptCount;
     return true;
@@ -28,12 +30,12 @@
 
 bool AttemptHistory::recordOutcome(AttemptNumber number, AttemptOutcome outcome) {
     if (outcome.failed) recordFailure(state_.sentAt);
-    const bool own = isOpenAttempt(number);
-    if (!own && !registerUnknownNumber(number)) return false;
-    if (own && outcome.mayHaveRun) closeAfterRestart();
-    if (!own && outcome.mayHaveRun) markUncertain();
+    const bool isOpen = isOpenAttempt(number);
+    if (!isOpen && !registerUnknownNumber(number)) return false;
+    if (isOpen && outcome.mayHaveRun) closeAfterRestart();
+    if (!isOpen && outcome.mayHaveRun) markUncertain();
     state_.openNumber = 0;
-    return own;
+    return isOpen;
 }
 
 void AttemptHistory::recordUnsentFailure(RecordMs at) { recordFailure(at); }
@@ -47,8 +49,8 @@
     return state_.openNumber != 0 && state_.openNumber == number;
 }
 
-/// True for a number that was never begun here: the record of its beginning is damaged, and with it the
-/// outcome of whichever attempt was open before.
+/// Returns true for a number above the last one: the record that began this attempt is damaged, and perhaps
+/// the outcome of the attempt that was open before it too.
 bool AttemptHistory::registerUnknownNumber(AttemptNumber number) {
     if (number <= state_.lastNumber) return false;
     closeAfterRestart();
@@ -63,8 +65,8 @@
     state_.openNumber = 0;
 }
 
-// What is open stays so: it may have been sent before anything that is missing, and the number of the next
-// record tells whether its own outcome is among that.
+// An open attempt stays open: it already counts as one that may have run, and the number in the next record
+// shows whether its outcome is among the missing records.
 void AttemptHistory::markUncertain() {
     if (state_.openNumber == 0 && state_.mayHaveRunSince == 0) state_.mayHaveRunSince = kEarliestTime;
 }
--- a/src/store/attempt_history.hpp
+++ b/src/store/attempt_history.hpp
@@ -1,9 +1,9 @@
-// The attempts of one message over all lives of its sender: the one place that knows whether it may have run,
-// and since when.
+// The delivery attempts of one message across restarts of the sender. This class alone decides whether a
+// message may have run at its destination, and since when.
 //
-// Each attempt has a number of its own, which is never given twice. What an attempt came to is told by its
-// number, and changes nothing about any other: an outcome can't settle an attempt that it does not belong to.
-// That a message may have run is never taken back. Pure.
+// Each attempt has a number that is never reused. Outcomes name the attempt's number, so an outcome never
+// closes an attempt that it does not belong to. Once a message may have run, that is never revoked. No I/O;
+// not synchronized.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,26 @@
 
 namespace laurelhaven::store {
 
-using RecordMs = std::int64_t;        ///< milliseconds on the time line of src/clock: it spans restarts
-using AttemptNumber = std::uint32_t;  ///< of one message, from 1 on
+using RecordMs = std::int64_t;        ///< milliseconds of clock::RecordClock, which continue across restarts
+using AttemptNumber = std::uint32_t;  ///< numbers the attempts of one message, from 1
 
-/// What an attempt came to.
+/// How an attempt ended.
 struct AttemptOutcome {
     bool mayHaveRun = false;
-    bool failed = false;  ///< rather than turned away
+    bool failed = false;  ///< false: the endpoint rejected it for lack of capacity
 };
 
 class AttemptHistory {
   public:
-    /// Everything that a record has to hold.
+    /// The fields that a record stores.
     struct State {
-        std::uint32_t attemptCount = 0;  ///< attempts that have left, or may have
-        std::uint32_t failures = 0;      ///< calls known to have failed, with or without an attempt
-        AttemptNumber lastNumber = 0;    ///< the number given last; 0: none yet
-        AttemptNumber openNumber = 0;    ///< the attempt that has no outcome yet; 0: none
-        RecordMs sentAt = 0;             ///< when the last attempt was sent
-        RecordMs failedAt = 0;           ///< when the call that failed last was made
-        RecordMs mayHaveRunSince = 0;    ///< when the first that may have run was sent; 0: none has
+        std::uint32_t attemptCount = 0;  ///< attempts that were sent, or may have been
+        std::uint32_t failures = 0;      ///< known failures, including those before anything was sent
+        AttemptNumber lastNumber = 0;    ///< the last number in use; 0: none yet
+        AttemptNumber openNumber = 0;    ///< the attempt without an outcome; 0: none
+        RecordMs sentAt = 0;             ///< when the last attempt began
+        RecordMs failedAt = 0;           ///< when the last failed attempt was made
+        RecordMs mayHaveRunSince = 0;    ///< when the first attempt that may have run began; 0: none has
     };
 
     AttemptHistory() = default;
@@ -39,22 +39,24 @@
 
     /// The number of the next attempt.
     AttemptNumber nextNumber() const { return state_.lastNumber + 1; }
-    /// Opens an attempt. One that is open still has lost its outcome, and may have run.
+    /// Opens an attempt. If another is still open, its outcome is lost and it may have run.
     void begin(AttemptNumber number, RecordMs at);
-    /// It never left: it was none. False, and nothing has changed, where it is not the open attempt.
+    /// No byte of the open attempt was sent, so it does not count. Returns false if `number` is not the open
+    /// attempt; a number above the last one then counts as an attempt whose record is missing.
     bool attemptNotSent(AttemptNumber number);
-    /// It has its outcome. False where it is not the open attempt: then that one is as open as before.
+    /// Closes the open attempt with its outcome. Returns false if `number` is not the open attempt; a number
+    /// above the last one then counts as an attempt whose record is missing.
     bool recordOutcome(AttemptNumber number, AttemptOutcome outcome);
-    /// A call failed before it made an attempt: that says nothing about any attempt.
+    /// Counts a failure before anything was sent, such as a failed connect. It changes no attempt.
     void recordUnsentFailure(RecordMs at);
-    /// The process that made the open attempt is gone, and with it the attempt's outcome.
+    /// Closes the open attempt as one that may have run: its outcome was lost with the process that made it.
     void closeAfterRestart();
-    /// Records are missing: any of them may have been an attempt, at any time.
+    /// Records are missing, and any of them may have been an attempt, made at an unknown time.
     void markUncertain();
 
     /// The open attempt, if any.
     std::optional<AttemptNumber> openAttempt() const;
-    /// When the first attempt that may have run was sent; nothing where surely none has.
+    /// When the first attempt that may have run began; empty if it is certain that none has.
     std::optional<RecordMs> mayHaveRunSince() const;
     std::uint32_t attemptCount() const { return state_.attemptCount; }
     std::uint32_t failures() const { return state_.failures; }
--- a/src/store/frame.hpp
+++ b/src/store/frame.hpp
@@ -1,6 +1,6 @@
-// Framed records in a file: a mark, the length and the checksum of a payload, and the payload. The one form
-// of everything that is kept on disk: what a killed process had half written is told from what is whole.
-// Bytes in, bytes out, but for the two helpers that read and write a descriptor.
+// Framed records: four bytes of magic, the length and the CRC-32 of a payload, and the payload. All files
+// that the sender stores consist of such frames, so that a reader tells complete records from those that a
+// killed process wrote only in part. No I/O except in readAll() and writeAll().
 #pragma once
 
 #include <cstddef>
@@ -12,16 +12,17 @@
 
 namespace laurelhaven::store {
 
-constexpr std::size_t kFrameHeaderBytes = 12;  ///< bytes in front of a payload
+constexpr std::size_t kFrameHeaderBytes = 12;  ///< magic, length and checksum
 
-/// Gathers one payload: numbers of eight bytes, little end first, and texts behind their length.
+/// Builds one payload: a type character, integers of eight bytes in little-endian order, doubles as their
+/// IEEE 754 bits, and strings preceded by their length.
 class PayloadWriter {
   public:
     explicit PayloadWriter(char type) { text_ += type; }
     template <class T>
     PayloadWriter& number(T value) {
-        const auto wide = static_cast<std::uint64_t>(value);
-        for (int i = 0; i < 8; ++i) text_ += static_cast<char>(wide >> (8 * i));
+        const auto bits64 = static_cast<std::uint64_t>(value);
+        for (int i = 0; i < 8; ++i) text_ += static_cast<char>(bits64 >> (8 * i));
         return *this;
     }
     PayloadWriter& real(double value) {
@@ -40,17 +41,18 @@
     std::string text_;
 };
 
-/// Reads what PayloadWriter wrote. A payload that ends early gives zeros, and complete() tells.
+/// Reads the fields of a payload in the order in which PayloadWriter wrote them, without the type character.
+/// Missing fields read as zero or empty; complete() then returns false.
 class PayloadReader {
   public:
-    explicit PayloadReader(std::string_view bytes) : left_(bytes) {}
+    explicit PayloadReader(std::string_view bytes) : rest_(bytes) {}
     template <class T>
     T number() {
-        std::uint64_t wide = 0;
-        if (left_.size() < 8) return ok_ = false, T{};
-        for (int i = 0; i < 8; ++i) wide |= std::uint64_t(static_cast<unsigned char>(left_[i])) << (8 * i);
-        left_.remove_prefix(8);
-        return static_cast<T>(wide);
+        std::uint64_t bits64 = 0;
+        if (rest_.size() < 8) return ok_ = false, T{};
+        for (int i = 0; i < 8; ++i) bits64 |= std::uint64_t(static_cast<unsigned char>(rest_[i])) << (8 * i);
+        rest_.remove_prefix(8);
+        return static_cast<T>(bits64);
     }
     double real() {
         const auto bits = number<std::uint64_t>();
@@ -60,43 +62,45 @@
     }
     std::string text() {
         const auto size = number<std::uint64_t>();
-        if (!ok_ || size > left_.size()) return ok_ = false, std::string();
-        std::string value(left_.substr(0, size));
-        left_.remove_prefix(size);
+        if (!ok_ || size > rest_.size()) return ok_ = false, std::string();
+        std::string value(rest_.substr(0, size));
+        rest_.remove_prefix(size);
         return value;
     }
-    bool complete() const { return ok_ && left_.empty(); }
+    /// True if every field was present and nothing is left over.
+    bool complete() const { return ok_ && rest_.empty(); }
 
   private:
-    std::string_view left_;
+    std::string_view rest_;
     bool ok_ = true;
 };
 
-/// The payload behind the four bytes of `mark`, its length and its CRC-32.
-std::string encodeFrame(std::string_view mark, std::string_view payload);
+/// Returns the payload in a frame. `magic` has four bytes.
+std::string encodeFrame(std::string_view magic, std::string_view payload);
 
-/// The payload of a good record at the start of the bytes; empty where there is none.
-std::string_view decodeFirstFrame(std::string_view bytes, std::string_view mark, std::size_t longest);
+/// Returns the payload of the frame at the start of `bytes`; empty if there is no valid one. `maxPayload`
+/// bounds the payload, in bytes.
+std::string_view decodeFirstFrame(std::string_view bytes, std::string_view magic, std::size_t maxPayload);
 
-/// What scanning a file's bytes found.
+/// What scanFrames() found.
 struct ScanResult {
-    std::size_t validBytes = 0;    ///< bytes up to the end of the last whole record
-    std::size_t damagedBytes = 0;  ///< bytes passed over before it
+    std::size_t validBytes = 0;    ///< up to the end of the last valid record, damage included
+    std::size_t damagedBytes = 0;  ///< skipped within validBytes
     std::size_t recordCount = 0;
 };
-/// Calls `each` with the payload of every whole record, in order. Damage costs only the records it touches:
-/// reading goes on at the next mark. `longest` bounds a payload.
-ScanResult scanFrames(std::string_view bytes, std::string_view mark, std::size_t longest,
-                      const std::function<void(std::string_view)>& each);
+/// Calls `handle` with the payload of every valid record, in order. After damage it resumes at the next
+/// magic, so damage costs only the records that it touches.
+ScanResult scanFrames(std::string_view bytes, std::string_view magic, std::size_t maxPayload,
+                      const std::function<void(std::string_view)>& handle);
 
-/// What reading a file came to.
+/// The result of readAll().
 struct ReadResult {
     std::string text;
-    bool complete = true;  ///< false: a read failed, and the file may go on; errno tells
+    bool complete = true;  ///< false: a read failed with errno, and the file may contain more
 };
-/// All that can be read from the descriptor, up to `most` bytes.
-ReadResult readAll(int fd, std::size_t most = SIZE_MAX);
-/// False where not all of it could be written; errno tells.
+/// Reads from the descriptor to its end or until a read fails, at most `maxBytes`.
+ReadResult readAll(int fd, std::size_t maxBytes = SIZE_MAX);
+/// Returns false with errno set if a part could not be written.
 bool writeAll(int fd, std::string_view bytes);
 
 }  // namespace laurelhaven::store
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -19,16 +19,16 @@
 
 constexpr std::string_view kRecordMagic = "LHR1";
 constexpr std::size_t kHeaderBytes = kFrameHeaderBytes;
-constexpr std::size_t kMaxPayloadBytes = 80 * 1024;  // no record is longer: a body and its names
-constexpr std::uint64_t kBlockBytes = 512;           // files count in whole blocks
-constexpr std::uint64_t kFolderMarginBytes =
-    8 * kBlockBytes;  // two files, and what the folder may count besides
-// Kept back for each live message, so that its attempts and its end always find room.
+constexpr std::size_t kMaxPayloadBytes = 80 * 1024;  // bounds a body with its names
+constexpr std::uint64_t kBlockBytes = 512;           // disk usage counts in whole blocks
+// For rounding two files up to whole blocks, and for whatever else is counted in the folder.
+constexpr std::uint64_t kFolderMarginBytes = 8 * kBlockBytes;
+// Reserved for each live message, so that there is always room for its attempts and its end.
 constexpr std::uint64_t kReservedBytesPerMessage = 256;
-constexpr std::uint64_t kMaxStaleBytes =
-    256 * 1024;  // records of what is over, beyond which a fresh file is written
-constexpr std::chrono::milliseconds kCompactionRetryPause{200};  // after a compaction that failed
-// At a start what is owed must be read: a failing folder is asked again for so long, in such steps.
+// Records of finished messages beyond this cause a compaction.
+constexpr std::uint64_t kMaxStaleBytes = 256 * 1024;
+constexpr std::chrono::milliseconds kCompactionRetryPause{200};  // after a failed compaction
+// The journal must be read at the start, so failing I/O is retried at this interval until the timeout.
 constexpr std::chrono::seconds kStartupRetryTimeout{8};
 constexpr std::chrono::milliseconds kStartupRetryPause{20};
 
@@ -41,7 +41,7 @@
     kRemoved = 'D',
     kFinalState = 'E',
     kNoticeAcknowledged = 'N',
-    // Of earlier versions, read only: classes by position, and attempts without numbers.
+    // Formats of earlier versions, only read: classes by position, and attempts without numbers.
     kAcceptedByPosition = 'T',
     kAcceptedWithoutNumbers = 'M',
     kAttemptBegunWithoutNumber = 'A',
@@ -49,8 +49,8 @@
     kAttemptOutcomeWithoutNumber = 'O'
 };
 
-/// Repeats a step of the start until it succeeds. Throws std::system_error where it fails for too long: a
-/// sender that does not know what it owes must not serve.
+/// Repeats a step of the start until it succeeds. Throws std::system_error after kStartupRetryTimeout: a
+/// sender that can't read its pending messages must not serve.
 template <class Step>
 void retryWhileFailing(const std::string& path, Step step) {
     const auto until = std::chrono::steady_clock::now() + kStartupRetryTimeout;
@@ -63,8 +63,8 @@
 }
 
 template <class T>
-T at(const std::vector<T>& all, std::uint64_t position) {
-    return position < all.size() ? all[position] : T{};
+T valueAt(const std::vector<T>& values, std::uint64_t position) {
+    return position < values.size() ? values[position] : T{};
 }
 
 }  // namespace
@@ -73,12 +73,13 @@
     : path_(folder + "/messages.log"),
       budgetBytes_(diskBytes - std::min(diskBytes / 2, kFolderMarginBytes)),
       positions_(std::move(positions)) {
-    // A copy that was not finished when the process died: the old file still holds everything.
+    // A copy that was incomplete when the process died: the old file still has everything.
     unlink((path_ + ".new").c_str());
     retryWhileFailing(path_, [this] { return openFile(); });
 }
 
-/// True when the file is open, or can't be created because the disk is full: then nothing is owed yet.
+/// Returns true if the file is open, or if it does not exist and can't be created on a full disk: then
+/// nothing is pending, and the sender can start.
 bool Journal::openFile() {
     do {
         file_ = net::Fd(open(path_.c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
@@ -100,21 +101,22 @@
         return read.complete;
     });
     const char* next = text.data();
-    const auto [good, damaged, records] =
+    const auto [validBytes, damagedBytes, recordCount] =
         scanFrames(text, kRecordMagic, kMaxPayloadBytes, [&](std::string_view payload) {
             if (payload.data() - kHeaderBytes != next) markUncertain();
             next = payload.data() + payload.size();
             apply(payload);
         });
-    if (damaged > 0) log::error() << "journal: skipped " << damaged << " damaged bytes";
-    if (good < text.size())
-        log::warning() << "journal: dropped a torn tail of " << text.size() - good << " bytes";
-    fileBytes_ = good;
-    tornTail_ = good < text.size();
-    if (!truncateTornTail()) log::error() << "journal: can't cut the torn tail yet: " << std::strerror(errno);
-    // What the positions mean holds for this configuration: by the next start they must be names.
+    if (damagedBytes > 0) log::error() << "journal: skipped " << damagedBytes << " damaged bytes";
+    if (validBytes < text.size())
+        log::warning() << "journal: dropped a torn tail of " << text.size() - validBytes << " bytes";
+    fileBytes_ = validBytes;
+    tornTail_ = validBytes < text.size();
+    if (!truncateTornTail())
+        log::error() << "journal: can't truncate the torn tail yet, will retry: " << std::strerror(errno);
+    // Positions refer to the present configuration, so rewrite them as names before the next start.
     if (hasLegacyPositions_) compact();
-    // What was open when the earlier life ended has no outcome any more, and may have run.
+    // The outcomes of attempts that were open when the previous run ended are lost, so these may have run.
     for (auto& live : liveRecords_) live.message.attempts.closeAfterRestart();
     RecoveredState found;
     for (const auto& live : liveRecords_) {
@@ -124,8 +126,8 @@
     return found;
 }
 
-// Danger: what can't be read may have been an attempt. A message that was alive then may have run, nobody
-// knows when; sent again it might take effect twice.
+// A damaged record may have been an attempt of any message that was live at that point. All these may have
+// run at an unknown time; otherwise a repeat could take effect twice.
 void Journal::markUncertain() {
     for (auto& live : liveRecords_) live.message.attempts.markUncertain();
 }
@@ -194,7 +196,7 @@
     return attempts;
 }
 
-/// As an earlier version wrote it: whether an attempt is open, and no number of it.
+/// Reads the format of an earlier version, which stored whether an attempt is open but not its number.
 AttemptHistory::State readAttemptsWithoutNumbers(PayloadReader& in) {
     AttemptHistory::State attempts;
     attempts.attemptCount = attempts.lastNumber = in.number<std::uint32_t>();
@@ -206,7 +208,7 @@
     return attempts;
 }
 
-/// What a record says of an attempt, or of a call that made none.
+/// The content of a record about an attempt or an unsent failure.
 struct AttemptRecord {
     std::string id;
     AttemptNumber number = 0;
@@ -228,8 +230,9 @@
     return record;
 }
 
-/// Danger: an earlier version wrote the failure of a connect, which had made no attempt, like the outcome of
-/// one that surely did not run. Where an attempt was open then, it may be either; so it may have run.
+/// An earlier version wrote a failed connect, for which no attempt was sent, like the outcome of an attempt
+/// that did not run. If an attempt was open, the record may mean either, so the attempt counts as one that
+/// may have run.
 void recordOutcomeWithoutNumber(AttemptHistory& attempts, AttemptOutcome outcome) {
     if (const auto open = attempts.openAttempt()) {
         outcome.mayHaveRun = outcome.mayHaveRun || outcome.failed;
@@ -254,28 +257,28 @@
 
 }  // namespace
 
-/// Brings what is alive up to a record, written just now or read back.
+/// Applies a record, just written or read back, to the live records.
 void Journal::apply(std::string_view payload) {
     const char type = payload[0];
     PayloadReader in(payload.substr(1));
-    bool known = false;
+    bool valid = false;
     switch (type) {
         case kAccepted:
         case kAcceptedWithoutNumbers:
-        case kAcceptedByPosition: known = applyAccepted(type, in); break;
+        case kAcceptedByPosition: valid = applyAccepted(type, in); break;
         case kAttemptBegun:
         case kAttemptNotSent:
         case kAttemptOutcome:
         case kUnsentFailure:
         case kAttemptBegunWithoutNumber:
         case kAttemptNotSentWithoutNumber:
-        case kAttemptOutcomeWithoutNumber: known = applyAttempt(type, in); break;
+        case kAttemptOutcomeWithoutNumber: valid = applyAttempt(type, in); break;
         case kRemoved:
         case kFinalState:
-        case kNoticeAcknowledged: known = applyEnd(type, in); break;
+        case kNoticeAcknowledged: valid = applyEnd(type, in); break;
         default: break;
     }
-    if (!known) log::error() << "journal: skipped a record of no known form";
+    if (!valid) log::error() << "journal: skipped a record of unknown type or malformed content";
 }
 
 bool Journal::applyAccepted(char type, PayloadReader& in) {
@@ -285,10 +288,10 @@
     m.key = in.text();
     m.destination = in.number<std::uint64_t>();
     if (type == kAcceptedByPosition) {
-        const auto messageClass = in.number<std::uint64_t>();
-        m.messageClass = at(positions_.messageClasses, messageClass);
-        m.effect = at(positions_.effects, messageClass);
-        m.tenant = at(positions_.tenants, in.number<std::uint64_t>());
+        const auto position = in.number<std::uint64_t>();
+        m.messageClass = valueAt(positions_.messageClasses, position);
+        m.effect = valueAt(positions_.effects, position);
+        m.tenant = valueAt(positions_.tenants, in.number<std::uint64_t>());
         hasLegacyPositions_ = true;
     } else {
         m.messageClass = in.text();
@@ -333,14 +336,15 @@
     return found && found->attempts.openAttempt() == attempt;
 }
 
-/// A record that asks for something: false, and nothing has changed, where it can't be written now.
+/// Writes and applies the record of a request. Returns false, with nothing changed, if it can't be written
+/// now.
 bool Journal::tryAppend(std::string_view payload) {
     if (!writeUnwritten() || !write(payload)) return false;
     apply(payload);
     return true;
 }
 
-/// A record of what has happened: it holds from now on, and is written as soon as that can be done.
+/// Applies the record of an event at once and writes it as soon as possible.
 void Journal::appendOrQueue(std::string payload) {
     apply(payload);
     unwritten_.push_back(std::move(payload));
@@ -349,22 +353,22 @@
 
 bool Journal::flush() { return writeUnwritten(); }
 
-// Danger: written out of order, an attempt would stand in front of the outcome of the one before it. So what
-// waits goes first, whatever is to be written.
+// Waiting records are written before any new one: out of order, the start of an attempt would precede the
+// outcome of the attempt before it.
 bool Journal::writeUnwritten() {
     while (!unwritten_.empty()) {
         if (!write(unwritten_.front())) return false;
-        if (!unwritten_.empty()) unwritten_.pop_front();  // a compaction has written them all
+        if (!unwritten_.empty()) unwritten_.pop_front();  // unless a compaction wrote them all
     }
     return true;
 }
 
-/// One record at the end of the file.
+/// Writes one record at the end of the file.
 bool Journal::write(std::string_view payload) {
     const std::string bytes = encodeFrame(kRecordMagic, payload);
-    const bool waited = !unwritten_.empty();
+    const bool wasQueued = !unwritten_.empty();
     if (!makeRoom(bytes.size())) return false;
-    if (waited && unwritten_.empty()) return true;  // the fresh file tells it already
+    if (wasQueued && unwritten_.empty()) return true;  // the compaction wrote it
     if (!writeAll(file_.get(), bytes)) {
         reportFailure("write");
         tornTail_ = true;
@@ -376,23 +380,24 @@
     return true;
 }
 
-/// The file is open, ends with a whole record, and has room for a record of so many bytes.
+/// Returns true if the file is open, ends with a complete record, and has room for a record of `bytes` bytes.
 bool Journal::makeRoom(std::size_t bytes) {
     if (!file_ && !(openFile() && file_)) {
         reportFailure("open");
         return false;
     }
-    // Danger: what is written behind half a record makes all before it look damaged, and so as if it might
-    // have run. Either the half goes or a fresh file takes the place of this one.
+    // A record after a torn one would make all messages before it look as if they may have run, as after
+    // damage. So either the torn record is cut off or a compacted file replaces this one.
     if (!truncateTornTail() && !compact()) return false;
-    // The file, the copy that must still fit beside it, and this record in both.
+    // Room for the file, a compacted copy beside it, and this record in both.
     const bool full = fileBytes_ + liveBytes_ + 2 * bytes > budgetBytes_ && fileBytes_ > liveBytes_;
-    // The folder counts as memory: what is long over is not kept until the disk is full.
+    // The platform counts the folder as memory, so finished messages are not kept until the budget is used
+    // up.
     if (full || fileBytes_ > liveBytes_ + kMaxStaleBytes) compact();
     return fileBytes_ + bytes <= budgetBytes_;
 }
 
-/// False while bytes of a failed write still lie behind the last whole record.
+/// Returns false while bytes of a failed write still follow the last complete record.
 bool Journal::truncateTornTail() {
     if (!tornTail_ || !file_) return !tornTail_;
     int result = 0;
@@ -404,7 +409,7 @@
     return true;
 }
 
-/// One line when the trouble begins, not one for each record.
+/// Counts a failure. Logs only the first in a row, not one for each record.
 void Journal::reportFailure(const char* what) {
     static auto& failures = metrics::counter("journal_failures_total");
     failures.add();
@@ -412,13 +417,13 @@
         log::error() << "journal: can't " << what << ": " << std::strerror(errno);
 }
 
-/// Writes a fresh file of what is alive, with everything that waits to be written in it. After a failure it
-/// is not tried again at once: it may be long, and it is asked for with every record.
+/// Replaces the file by one of the live records, which include everything in unwritten_. After a failure it
+/// does nothing for kCompactionRetryPause: a compaction may take long, and every record may ask for one.
 bool Journal::compact() {
     const auto now = std::chrono::steady_clock::now();
     if (now < nextCompactionAt_) return false;
-    const std::string fresh = path_ + ".new";
-    net::Fd file(open(fresh.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
+    const std::string copyPath = path_ + ".new";
+    net::Fd file(open(copyPath.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
     std::uint64_t size = 0;
     bool good = static_cast<bool>(file);
     for (const auto& live : liveRecords_) {
@@ -427,9 +432,9 @@
         good = writeAll(file.get(), bytes);
         size += bytes.size();
     }
-    if (!good || rename(fresh.c_str(), path_.c_str()) != 0) {
+    if (!good || rename(copyPath.c_str(), path_.c_str()) != 0) {
         reportFailure("compact");
-        unlink(fresh.c_str());
+        unlink(copyPath.c_str());
         nextCompactionAt_ = now + kCompactionRetryPause;
         return false;
     }
@@ -442,13 +447,13 @@
 }
 
 bool Journal::accept(const StoredMessage& message) {
-    // Danger: an id whose end is still owed, handed in again: the two would share one record, and the word
-    // that the platform knows the first one's end would strike out the second.
+    // An id whose notice is still pending must not be reused: both messages would share one record, and the
+    // acknowledgement of the first one's notice would remove the second message.
     if (liveById_.count(message.id)) return false;
     LiveRecord live;
     live.message = message;
     const auto payload = encode(live);
-    // Twice what is alive must fit, or no compaction could ever be made again.
+    // The live records must fit twice, or no compaction would ever be possible again.
     if (payload.size() > kMaxPayloadBytes ||
         2 * (liveBytes_ + kHeaderBytes + payload.size() + kReservedBytesPerMessage) > budgetBytes_)
         return false;
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -1,11 +1,14 @@
-// The store of record in one append-only file.
+// The durable store in one append-only file.
 //
-// A record is a mark, the length and the checksum of its payload, and the payload; one write each, so what a
-// killed process had written is there. The file and its successor are both inside the byte budget: once the
-// next record would not leave room for a copy of what is alive, that copy is written and takes its place.
+// Each record is a frame (store/frame.hpp) and is written with one write(), so the records that a killed
+// process had written are complete in the file. Compaction writes a copy of the live records and renames it
+// over the file. File and copy together stay within the byte budget: the journal compacts before the file
+// grows so large that a copy would no longer fit.
 //
-// While the file system fails, records of what has happened wait in memory, and are written before anything
-// else. Their number is bounded: meanwhile nothing is taken on and no attempt begins.
+// While writes fail, reports of what has already happened wait in memory and are written before any other
+// record. Their number is bounded, since meanwhile no message is accepted and no attempt begins.
+//
+// Not thread-safe: callers serialize access.
 #pragma once
 
 #include <chrono>
@@ -23,17 +26,19 @@
 
 namespace laurelhaven::store {
 
-/// What records of the first form, which told classes and tenants by their positions, mean by them.
+/// The names behind the positions by which records of the first format refer to classes and tenants.
 struct LegacyPositions {
     std::vector<std::string> messageClasses, tenants;
-    std::vector<int> effects;  ///< by class
+    std::vector<int> effects;  ///< of each class, see StoredMessage::effect
 };
 
 class Journal : public Store {
   public:
-    /// Throws std::system_error where the folder can't be used.
+    /// Throws std::system_error if the file can't be opened: at once if the folder is missing, otherwise
+    /// after some seconds of retries.
     Journal(const std::string& folder, std::uint64_t diskBytes, LegacyPositions positions = {});
 
+    /// Throws std::system_error if the file can't be read for some seconds.
     RecoveredState recover() override;
     bool accept(const StoredMessage& message) override;
     std::optional<AttemptNumber> beginAttempt(const std::string& id, RecordMs at) override;
@@ -46,14 +51,15 @@
     bool hasUnwrittenRecords() const override { return !unwritten_.empty(); }
     bool flush() override;
 
+    /// Size of the file up to the end of its last complete record.
     std::uint64_t fileBytes() const { return fileBytes_; }
 
   private:
     struct LiveRecord {
-        bool ended = false;  // ended, with its notice owed
+        bool ended = false;  // `notice` is pending; otherwise `message` is live
         StoredMessage message;
         PendingNotice notice;
-        std::uint64_t bytes = 0;  // of its record in a fresh file
+        std::uint64_t bytes = 0;  // of its record after a compaction, with the reserve
     };
     using LiveRecords = std::list<LiveRecord>;
 
@@ -70,7 +76,7 @@
     bool applyAccepted(char type, PayloadReader& in);
     bool applyAttempt(char type, PayloadReader& in);
     bool applyEnd(char type, PayloadReader& in);
-    /// The message of that id that is not over; null where there is none.
+    /// Returns the message of that id unless it has ended; null if there is none.
     StoredMessage* findMessage(const std::string& id);
     bool isOpenAttempt(const std::string& id, AttemptNumber attempt);
     void insertLive(LiveRecord live);
@@ -82,15 +88,15 @@
     std::string path_;
     std::uint64_t budgetBytes_;
     LegacyPositions positions_;
-    bool hasLegacyPositions_ = false;  // such a record was read
+    bool hasLegacyPositions_ = false;  // a record of the first format was read
     net::Fd file_;
-    std::uint64_t fileBytes_ = 0;        // of the file, up to the end of its last whole record
-    bool tornTail_ = false;              // bytes of a failed write may lie behind that
-    std::deque<std::string> unwritten_;  // payloads of what has happened, applied and not yet in the file
-    std::chrono::steady_clock::time_point nextCompactionAt_{};  // after a compaction that failed
-    bool writesFail_ = false;                                   // the last write failed, and was logged
-    std::uint64_t liveBytes_ = 0;                               // of a fresh file
-    LiveRecords liveRecords_;
+    std::uint64_t fileBytes_ = 0;        // up to the end of the last complete record
+    bool tornTail_ = false;              // bytes of a failed write may follow it
+    std::deque<std::string> unwritten_;  // payloads already applied, not yet in the file
+    std::chrono::steady_clock::time_point nextCompactionAt_{};  // after a failed compaction
+    bool writesFail_ = false;                                   // the last write failed and was logged
+    std::uint64_t liveBytes_ = 0;                               // the sum of LiveRecord::bytes
+    LiveRecords liveRecords_;  // in the order in which they were accepted or ended
     std::unordered_map<std::string, LiveRecords::iterator> liveById_;
 };
 
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,5 +1,6 @@
-// The store of record: what the sender has taken on and still owes, beyond the life of its process. Another
-// store (a database, say) takes the place of the file journal behind this interface.
+// The interface to durable storage: the messages that the sender has accepted and the notices that the
+// platform has not acknowledged, across restarts. journal.hpp implements it with a file; another store, such
+// as a database, can replace that behind this interface.
 #pragma once
 
 #include <cstdint>
@@ -12,60 +13,67 @@
 
 namespace laurelhaven::store {
 
-/// A message as it was taken on, with what its attempts have come to.
+/// A message as it was accepted, with the history of its attempts.
 struct StoredMessage {
     std::string id, key;
     std::uint64_t destination = 0;
-    /// By name: a later life may list them in another order. Empty: not known any more.
+    /// Names rather than positions, as a later run may list them in another order. Empty: no longer known.
     std::string messageClass, tenant;
-    int effect = 0;  ///< of its class when it was taken: 0 may be repeated, 1 by its key, 2 may not
+    /// Effect of its class when it was accepted: 0 may be repeated, 1 repeatable with its key, 2 must not be
+    /// repeated.
+    int effect = 0;
     RecordMs deadline = 0;
     std::shared_ptr<const std::string> body;
     AttemptHistory attempts;
 };
 
 enum class FinalState { failed, returned };
-/// An end that the platform has not yet been heard to know.
+/// The end of an undelivered message that the platform has not acknowledged yet.
 struct PendingNotice {
     std::string id;
     FinalState finalState = FinalState::failed;
-    std::int64_t retryAfterMs = 0;  ///< for returned: come again after so long; 0: not told
+    std::int64_t retryAfterMs = 0;  ///< for `returned`: when the platform may submit it again; 0: not set
 };
 
+/// What a previous run left in the store.
 struct RecoveredState {
-    std::vector<StoredMessage> messages;  ///< in the order in which they were taken
+    std::vector<StoredMessage> messages;  ///< in the order in which they were accepted
     std::vector<PendingNotice> notices;
 };
 
-/// Calls are made by one thread at a time.
+/// Not thread-safe: callers serialize access.
 ///
-/// take() and beginAttempt() ask for something to be done, and are refused while the record can't be written.
-/// The others tell what has happened already: they can't be refused, and a store that can't write them keeps
-/// them, in order, until it can. What they tell belongs to one attempt, or to one message in one state. Where
-/// there is no such thing they change nothing and return false: that is a fault of whoever tells.
+/// accept() and beginAttempt() are requests; they fail if the record can't be written. The other functions
+/// report what has already happened and can't be refused: a store that can't write such a record keeps it in
+/// memory, in order, until it can. Each report belongs to one attempt, or to one message in a certain state;
+/// if there is none, the function changes nothing and returns false, which is an error of the caller.
 class Store {
   public:
     virtual ~Store() = default;
-    /// What an earlier life left. Called once, before anything else.
+    /// Returns what a previous run left. Called once, before any other function.
     virtual RecoveredState recover() = 0;
-    /// False: there is no room for it, or it could not be written; then it is not on record.
+    /// Stores a message. Returns false, with nothing stored, if there is no room, if the record could not be
+    /// written, or if the id is in use.
     virtual bool accept(const StoredMessage& message) = 0;
-    /// Before the first byte of a call. Nothing: it could not be written, so the call must not go out.
+    /// Called before the first byte of an attempt is sent. Empty if the record could not be written; then the
+    /// attempt must not be sent.
     virtual std::optional<AttemptNumber> beginAttempt(const std::string& id, RecordMs at) = 0;
-    /// The attempt never left, and its call goes on: it was none.
+    /// No byte of the open attempt was sent, for example because its connection broke first: it does not
+    /// count.
     virtual bool attemptNotSent(const std::string& id, AttemptNumber attempt) = 0;
+    /// Closes the open attempt with its outcome.
     virtual bool recordOutcome(const std::string& id, AttemptNumber attempt, AttemptOutcome outcome) = 0;
-    /// A call failed before it made an attempt.
+    /// A delivery failed before anything was sent, such as in connecting.
     virtual bool recordUnsentFailure(const std::string& id, RecordMs at) = 0;
-    /// Delivered, over, or refused in its own turn: nothing more is owed.
+    /// Removes a message that needs no notice: it was delivered, withdrawn, or its submission was rejected.
     virtual bool remove(const std::string& id) = 0;
-    /// Ended undelivered; owed until `noticed`.
+    /// The message ended undelivered; its notice is pending until noticeAcknowledged().
     virtual bool recordFinalState(const PendingNotice& notice) = 0;
-    /// The platform knows its end. Told twice, the second time changes nothing, and is no fault.
+    /// The platform has acknowledged the notice. A repeated acknowledgement changes nothing and returns true.
     virtual bool noticeAcknowledged(const std::string& id) = 0;
-    /// True while something that has happened could not be written yet.
+    /// True while reports wait in memory because they could not be written yet.
     virtual bool hasUnwrittenRecords() const { return false; }
-    /// Tries again to write that. True when nothing is left to write.
+    /// Tries again to write them. Returns true if none is left.
     virtual bool flush() { return true; }
 };
 
--- a/tests/store/disk_faults_test.cpp
+++ b/tests/store/disk_faults_test.cpp
@@ -1,5 +1,5 @@
-// The journal while the file system fails for a time: nothing that was taken on is forgotten, and nothing
-// that happened meanwhile is missing from the record once writes succeed again.
+// The journal while file operations fail for a time: no accepted message is lost, and everything that
+// happened meanwhile is in the file once writes succeed again.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -22,13 +22,13 @@
     ~JournalDiskFaults() override { repairDisk(); }
 
     static StoredMessage message(const std::string& id) {
-        StoredMessage taken;
-        taken.id = id;
-        taken.key = "key-" + id;
-        taken.destination = 7;
-        taken.deadline = 1234567;
-        taken.body = std::make_shared<const std::string>("body");
-        return taken;
+        StoredMessage stored;
+        stored.id = id;
+        stored.key = "key-" + id;
+        stored.destination = 7;
+        stored.deadline = 1234567;
+        stored.body = std::make_shared<const std::string>("body");
+        return stored;
     }
     static void repairDisk() {
         for (auto* failure :
@@ -45,8 +45,8 @@
     const check::Folder folder_;
 };
 
-// What a call came to, while no record can be written, is on record once the disk is well again.
-TEST_F(JournalDiskFaults, WhatHappenedWhileWritesFailedIsOnRecordAfterwards) {
+// Outcomes that are reported while no record can be written are stored once writes succeed again.
+TEST_F(JournalDiskFaults, StoresOutcomesReportedWhileWritesFailed) {
     Journal journal(folder_.path, kDiskBytes);
     journal.recover();
     std::map<std::string, AttemptNumber> attempts;
@@ -65,8 +65,8 @@
     EXPECT_TRUE(journal.attemptNotSent("unsent", attempts["unsent"]));
     journal.recordFinalState({"returned", FinalState::returned, 500});
     journal.noticeAcknowledged("told");
-    EXPECT_FALSE(journal.accept(message("late"))) << "nothing may be taken on that is not on record";
-    EXPECT_FALSE(journal.beginAttempt("refused", 200)) << "no call may begin that is not on record";
+    EXPECT_FALSE(journal.accept(message("late"))) << "no message may be accepted without a record";
+    EXPECT_FALSE(journal.beginAttempt("refused", 200)) << "no attempt may begin without a record";
     repairDisk();
 
     ASSERT_TRUE(journal.accept(message("next")));
@@ -85,9 +85,9 @@
     EXPECT_EQ(notices[0].retryAfterMs, 500);
 }
 
-// Half of a record stays in the file as it can't be cut off either. What is written behind it must not make
-// the messages before it look as if they might have run.
-TEST_F(JournalDiskFaults, HalfARecordThatCannotBeCutOffLeavesNoDoubt) {
+// A write fails halfway and the torn record can't be truncated. Records written after it must not make the
+// messages before it look as if they may have run.
+TEST_F(JournalDiskFaults, TornRecordThatCannotBeTruncatedLeavesNoMessageUncertain) {
     Journal journal(folder_.path, kDiskBytes);
     journal.recover();
     ASSERT_TRUE(journal.accept(message("before")));
@@ -109,8 +109,8 @@
     EXPECT_EQ(found.count("behind") == 1, stored);
 }
 
-// A read that fails is not the end of the file: what lies behind it is still owed.
-TEST_F(JournalDiskFaults, AReadThatFailsAtTheStartCutsNothingOff) {
+// A failed read must not be treated as the end of the file: the messages after it are still pending.
+TEST_F(JournalDiskFaults, FailedReadAtStartTruncatesNothing) {
     {
         Journal journal(folder_.path, kDiskBytes);
         journal.recover();
@@ -125,24 +125,26 @@
     EXPECT_EQ(messagesAfterKill().size(), 3u);
 }
 
-// A fresh file that can't take the old one's place leaves all as it was, whatever step fails.
-TEST_F(JournalDiskFaults, ACompactionThatFailsLosesNothing) {
+// If the compacted file can't replace the old one, the old one stays complete, and a later compaction
+// succeeds.
+TEST_F(JournalDiskFaults, FailedCompactionLosesNothing) {
     Journal journal(folder_.path, kDiskBytes);
     journal.recover();
     ASSERT_TRUE(journal.accept(message("kept")));
-    const auto churn = [&](int rounds) {
+    const auto acceptAndRemove = [&](int rounds) {
         for (int i = 0; i < rounds; ++i) {
             const auto id = "m" + std::to_string(i);
             if (journal.accept(message(id))) journal.remove(id);
         }
     };
     faults::renameFailure.arm(EIO);
-    churn(4000);  // far past the size at which a fresh file is due
+    acceptAndRemove(4000);  // far beyond the size that causes a compaction
     EXPECT_TRUE(messagesAfterKill().count("kept"));
     repairDisk();
-    // After a failure it is not tried with every record, so how many it takes depends on the machine.
+    // After a failure, compaction pauses, so the number of records until the next one depends on the machine.
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-    while (journal.fileBytes() >= 512u * 1024 && std::chrono::steady_clock::now() < until) churn(100);
+    while (journal.fileBytes() >= 512u * 1024 && std::chrono::steady_clock::now() < until)
+        acceptAndRemove(100);
     EXPECT_LT(journal.fileBytes(), 512u * 1024);
     const auto found = messagesAfterKill();
     EXPECT_EQ(found.size(), 1u);
