--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -17,25 +17,25 @@
 
 }  // namespace
 
-// ---- the tables ----
+// ---- tables ----
 
-Entry& Membership::findOrCreate(const listing::Endpoint& told) {
-    if (Entry* has = find(told.name)) {
-        if (has->endpoint.destination != told.destination) {
-            removeFromDestination(*has);
-            byDestination_[told.destination].push_back(has);
+Entry& Membership::findOrCreate(const listing::Endpoint& listed) {
+    if (Entry* existing = find(listed.name)) {
+        if (existing->endpoint.destination != listed.destination) {
+            removeFromDestination(*existing);
+            byDestination_[listed.destination].push_back(existing);
         }
-        return *has;
+        return *existing;
     }
-    auto made = std::make_unique<Entry>();
-    made->endpoint = told;
-    Entry& entry = **entries_.insert(std::move(made)).first;
-    byDestination_[told.destination].push_back(&entry);
+    auto created = std::make_unique<Entry>();
+    created->endpoint = listed;
+    Entry& entry = **entries_.insert(std::move(created)).first;
+    byDestination_[listed.destination].push_back(&entry);
     ++presentCount_;
     return entry;
 }
 
-/// Takes it from its destination's endpoints.
+/// Removes the entry from the endpoints of its destination.
 void Membership::removeFromDestination(const Entry& entry) {
     const auto it = byDestination_.find(entry.endpoint.destination);
     std::erase(it->second, &entry);
@@ -67,51 +67,59 @@
 }
 std::size_t Membership::tombstoneCount() const { return tombstoneCount_; }
 
-void Membership::refute(Entry& entry, RefutationReason why, RecordMs now, std::vector<std::string>& touched) {
-    const bool was = entry.isTombstone();
+void Membership::refute(Entry& entry, RefutationReason reason, RecordMs now,
+                        std::vector<std::string>& touched) {
+    const bool wasTombstone = entry.isTombstone();
     if (entry.refutation == RefutationReason::none) changesSinceUpdate_ += 1;
-    entry.refutation = why;
+    entry.refutation = reason;
     entry.refutedAt = now;
     entry.suspended = false;
     entry.answeredThisRun = entry.listedNow = entry.listedThisRun = false;
-    if (!was) --presentCount_, ++tombstoneCount_;
+    if (!wasTombstone) {
+        --presentCount_;
+        ++tombstoneCount_;
+    }
     touched.push_back(entry.endpoint.name);
 }
 
-/// Nobody is known at its address any more, if it was the one.
+/// Forgets the entry as the one at its address, if it was.
 void Membership::releaseAddress(const Entry& entry) {
     const auto it = byAddress_.find(hashOf(entry.endpoint.address));
     if (it != byAddress_.end() && it->second == &entry) byAddress_.erase(it);
 }
 
-// Danger: an endpoint goes and a new one takes over its address. Whoever had it before is not there any more,
-// whatever a list says that is older than the one which names the new one.
+// When a new endpoint takes over an address, the one that had it before is no longer there, whatever a list
+// of a lower index says.
 void Membership::claimAddress(Entry& entry, RecordMs now, std::vector<std::string>& touched) {
     if (entry.endpoint.address.empty()) return;
-    auto& has = byAddress_[hashOf(entry.endpoint.address)];
-    if (has && has != &entry && !has->isTombstone() && has->endpoint.address == entry.endpoint.address) {
-        if (has->index > entry.index) {
+    auto& holder = byAddress_[hashOf(entry.endpoint.address)];
+    if (holder && holder != &entry && !holder->isTombstone() &&
+        holder->endpoint.address == entry.endpoint.address) {
+        if (holder->index > entry.index) {
             if (entry.refutation == RefutationReason::none)
                 refute(entry, RefutationReason::addressReassigned, now, touched);
             return;
         }
-        if (has->index < entry.index) refute(*has, RefutationReason::addressReassigned, now, touched);
+        if (holder->index < entry.index) refute(*holder, RefutationReason::addressReassigned, now, touched);
     }
-    has = &entry;
+    holder = &entry;
 }
 
 // ---- at the start ----
 
 void Membership::restore(Entry entry) {
-    const bool fresh = !entries_.count(entry.endpoint.name);
-    if (!fresh) remove(entry.endpoint.name);
-    Entry& made = findOrCreate(entry.endpoint);
-    made = std::move(entry);
-    made.listedNow = made.answeredThisRun = made.listedThisRun = false;
-    if (made.isTombstone()) --presentCount_, ++tombstoneCount_;
-    // A kept list never holds two of one address, but a damaged one may.
+    const bool isNew = !entries_.count(entry.endpoint.name);
+    if (!isNew) remove(entry.endpoint.name);
+    Entry& created = findOrCreate(entry.endpoint);
+    created = std::move(entry);
+    created.listedNow = created.answeredThisRun = created.listedThisRun = false;
+    if (created.isTombstone()) {
+        --presentCount_;
+        ++tombstoneCount_;
+    }
+    // An intact saved list never has two endpoints at one address, but a damaged one may.
     std::vector<std::string> touched;
-    if (!made.isTombstone()) claimAddress(made, made.confirmedAt, touched);
+    if (!created.isTombstone()) claimAddress(created, created.confirmedAt, touched);
 }
 
 void Membership::restore(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn) {
@@ -124,37 +132,40 @@
     const bool empty = entries_.empty();
     const bool newer = empty || list.index > index_;
     std::vector<std::string> touched;
-    std::set<std::string_view> named;
-    for (const auto& told : list.endpoints) {
-        named.insert(told.name);
-        Entry* has = find(told.name);
-        if (has && (has->index >= list.index || !newer)) continue;
-        // The kept list is younger and does not know it: it was deleted since, and its tombstone forgotten.
-        if (!has && !newer) continue;
-        Entry& entry = findOrCreate(told);
-        const bool was = has && has->isTombstone();
-        entry.endpoint = told;
+    std::set<std::string_view> listedNames;
+    for (const auto& listed : list.endpoints) {
+        listedNames.insert(listed.name);
+        Entry* existing = find(listed.name);
+        if (existing && (existing->index >= list.index || !newer)) continue;
+        // The saved list is newer and does not contain it: it was deleted and its tombstone has expired.
+        if (!existing && !newer) continue;
+        Entry& entry = findOrCreate(listed);
+        const bool wasTombstone = existing && existing->isTombstone();
+        entry.endpoint = listed;
         entry.index = list.index;
         if (entry.firstListedAt == 0) entry.firstListedAt = now;
         entry.confirmedBy = ConfirmationSource::configuration;
         entry.confirmedAt = now;
         entry.suspended = false;
-        if (told.status == listing::Status::serving) {
+        if (listed.status == listing::Status::serving) {
             entry.refutation = RefutationReason::none;
-            if (was) ++presentCount_, --tombstoneCount_;
+            if (wasTombstone) {
+                ++presentCount_;
+                --tombstoneCount_;
+            }
             claimAddress(entry, now, touched);
         } else {
             refute(entry,
-                   told.status == listing::Status::draining ? RefutationReason::drained
-                                                            : RefutationReason::deleted,
+                   listed.status == listing::Status::draining ? RefutationReason::drained
+                                                              : RefutationReason::deleted,
                    now, touched);
         }
     }
     if (!newer) return;
-    // It is a whole list, and younger than the kept one: what it leaves out has gone.
+    // A full list that is newer than the saved one: the endpoints that it leaves out are gone.
     if (!empty)
         for (const auto& entry : entries_)
-            if (!named.count(entry->endpoint.name) && !entry->isTombstone())
+            if (!listedNames.count(entry->endpoint.name) && !entry->isTombstone())
                 refute(*entry, RefutationReason::missing, now, touched);
     index_ = std::max(index_, list.index);
     changesSinceUpdate_ = 0;
@@ -162,62 +173,66 @@
 
 // ---- while it runs ----
 
-/// One entry of a list of discovery. True where anything is new.
-bool Membership::mergeEndpoint(const listing::Endpoint& said, std::uint64_t index, RecordMs now,
+/// Merges one endpoint of a list from discovery. Returns true if anything changed.
+bool Membership::mergeEndpoint(const listing::Endpoint& update, std::uint64_t index, RecordMs now,
                                bool lostHistory, std::vector<std::string>& touched) {
-    Entry* has = find(said.name);
-    auto told = said;
-    if (has && told.status == listing::Status::deleted) {  // a deletion need not tell more than the name
-        told = has->endpoint;
-        told.status = listing::Status::deleted;
+    Entry* existing = find(update.name);
+    auto listed = update;
+    if (existing && listed.status == listing::Status::deleted) {  // a deletion may contain the name alone
+        listed = existing->endpoint;
+        listed.status = listing::Status::deleted;
     }
-    const bool serving = told.status == listing::Status::serving;
-    if (has && serving && has->isTombstone() &&
-        (has->refutation == RefutationReason::drained || has->refutation == RefutationReason::deleted ||
-         has->refutation == RefutationReason::missing)) {
-        // Danger: a discovery that lost its history, or an agent that is behind, lists what has drained since
-        // as serving. Only what is younger may raise it: a newer index, a start after that, or a long time.
-        const bool restarted = told.startedAtMs > has->refutedAt;
-        const bool longAgo = now - has->refutedAt > policy_.tombstoneHold.count();
-        if (!(index > has->index && !lostHistory) && !restarted && !longAgo) return false;
+    const bool serving = listed.status == listing::Status::serving;
+    if (existing && serving && existing->isTombstone() &&
+        (existing->refutation == RefutationReason::drained ||
+         existing->refutation == RefutationReason::deleted ||
+         existing->refutation == RefutationReason::missing)) {
+        // A discovery that lost its history, or an agent that lags behind, may list a drained endpoint as
+        // serving. Only a higher index, a later start of the endpoint, or a long time returns it to service.
+        const bool restarted = listed.startedAtMs > existing->refutedAt;
+        const bool longAgo = now - existing->refutedAt > policy_.tombstoneHold.count();
+        if (!(index > existing->index && !lostHistory) && !restarted && !longAgo) return false;
     }
-    if (!has && !serving && told.status == listing::Status::deleted) return false;
-    Entry& entry = findOrCreate(told);
-    const bool fresh = !has;
-    const bool same = !fresh && entry.endpoint == told && entry.refutation == RefutationReason::none;
-    const bool moved = !fresh && entry.endpoint.address != told.address && serving;
-    if (fresh) entry.firstListedAt = now;
+    if (!existing && !serving && listed.status == listing::Status::deleted) return false;
+    Entry& entry = findOrCreate(listed);
+    const bool isNew = !existing;
+    const bool same = !isNew && entry.endpoint == listed && entry.refutation == RefutationReason::none;
+    const bool moved = !isNew && entry.endpoint.address != listed.address && serving;
+    if (isNew) entry.firstListedAt = now;
     if (moved) {
         changesSinceUpdate_ += 1;
-        entry.answeredThisRun = entry.listedThisRun = false;  // whatever answered did so at another address
+        entry.answeredThisRun = entry.listedThisRun = false;  // those answers came from the old address
         releaseAddress(entry);
     }
-    entry.endpoint = told;
+    entry.endpoint = listed;
     entry.index = index;
     entry.confirmedAt = now;
     entry.confirmedBy = ConfirmationSource::discovery;
     if (!serving) {
-        const auto why =
-            told.status == listing::Status::draining ? RefutationReason::drained : RefutationReason::deleted;
-        if (entry.refutation != why) refute(entry, why, now, touched);
+        const auto reason = listed.status == listing::Status::draining ? RefutationReason::drained
+                                                                       : RefutationReason::deleted;
+        if (entry.refutation != reason) refute(entry, reason, now, touched);
         return true;
     }
-    if (entry.isTombstone()) ++presentCount_, --tombstoneCount_;
+    if (entry.isTombstone()) {
+        ++presentCount_;
+        --tombstoneCount_;
+    }
     entry.refutation = RefutationReason::none;
     entry.suspended = false;
-    const bool wasNamed = entry.listedNow;
+    const bool wasListed = entry.listedNow;
     entry.listedNow = entry.listedThisRun = true;
     claimAddress(entry, now, touched);
-    if (!same || !wasNamed) touched.push_back(told.name);
+    if (!same || !wasListed) touched.push_back(listed.name);
     return !same;
 }
 
 ListUpdateResult Membership::applyUpdate(const listing::EndpointList& list, RecordMs now) {
     ListUpdateResult result;
     updateChurn(now);
-    const bool lower = list.index < index_;
+    const bool indexFell = list.index < index_;
     if (!list.snapshot) {
-        if (lower) {
+        if (indexFell) {
             result.kind = ListUpdateResult::Kind::fullListNeeded;
             return result;
         }
@@ -226,44 +241,47 @@
             discoverySeen(now, true);
             return result;
         }
-        for (const auto& told : list.endpoints) mergeEndpoint(told, list.index, now, false, result.touched);
+        for (const auto& listed : list.endpoints)
+            mergeEndpoint(listed, list.index, now, false, result.touched);
         index_ = list.index;
         listReceived_ = true;
-        const bool was = discoveryLive_;
+        const bool wasLive = discoveryLive_;
         discoverySeen(now, true);
-        // Changes after a version that is known stand by everything else that is known.
-        if (!was)
+        // Changes relative to a known index confirm all other known endpoints.
+        if (!wasLive)
             for (const auto& entry : entries_)
                 if (entry->listedNow) result.touched.push_back(entry->endpoint.name);
         return result;
     }
-    if (lower) {
+    if (indexFell) {
         result.kind = ListUpdateResult::Kind::lostHistory;
         ++epoch_;
     }
-    const auto before = presentCount_;
-    std::set<std::string_view> named;
-    std::size_t listed = 0;
-    for (const auto& told : list.endpoints) {
-        named.insert(told.name);
-        listed += told.status == listing::Status::serving;
-        mergeEndpoint(told, list.index, now, lower, result.touched);
+    const auto countBefore = presentCount_;
+    std::set<std::string_view> listedNames;
+    std::size_t servingCount = 0;
+    for (const auto& listed : list.endpoints) {
+        listedNames.insert(listed.name);
+        servingCount += listed.status == listing::Status::serving;
+        mergeEndpoint(listed, list.index, now, indexFell, result.touched);
     }
-    // Danger: a discovery that starts empty, or with half its list, would at one stroke take all partners
-    // away for good. What it does not name gets nothing more, as the rules ask, but stays known for a while:
-    // its messages are held, and when it is named again it is as before.
-    const bool suspicious = listReceived_ && before >= policy_.shrinkLeast &&
-                            static_cast<double>(listed) < policy_.shrinkShare * static_cast<double>(before);
+    // A discovery that starts empty, or with half of its list, would remove all endpoints at once for good.
+    // The endpoints that it leaves out get no more messages, as the rules require, but stay known for a
+    // while: their messages wait, and once they are listed again they serve as before.
+    const bool suspicious =
+        listReceived_ && countBefore >= policy_.shrinkLeast &&
+        static_cast<double>(servingCount) < policy_.shrinkShare * static_cast<double>(countBefore);
     for (const auto& entry : entries_) {
-        if (named.count(entry->endpoint.name) || entry->isTombstone()) continue;
+        if (listedNames.count(entry->endpoint.name) || entry->isTombstone()) continue;
         if (entry->suspended && suspicious) continue;
         refute(*entry, RefutationReason::missing, now, result.touched);
         if (!suspicious) continue;
         entry->suspended = true;
-        ++presentCount_, --tombstoneCount_;
+        ++presentCount_;
+        --tombstoneCount_;
         ++result.suspended;
     }
-    if (lower)  // the new numbering counts from here
+    if (indexFell)  // the new numbering applies from now on
         for (const auto& entry : entries_) entry->index = std::min(entry->index, list.index);
     index_ = list.index;
     listReceived_ = true;
@@ -296,7 +314,7 @@
     }
 }
 
-/// What was watched since the last time teaches how long entries live.
+/// Feeds the changes since the last update into the estimate of how long entries stay valid.
 void Membership::updateChurn(RecordMs now) {
     if (discoveryLive_ && churnUpdatedAt_ > 0 && now > churnUpdatedAt_)
         churn_.observe(static_cast<double>(presentCount_), milliseconds(now - churnUpdatedAt_),
@@ -306,21 +324,21 @@
 }
 
 void Membership::recordAnswer(const std::string& endpoint, ConfirmationSource by, RecordMs now,
-                              double calls) {
+                              double count) {
     Entry* entry = find(endpoint);
     if (!entry || entry->isTombstone()) return;
     entry->answeredThisRun = true;
-    if (by == ConfirmationSource::delivery) entry->deliveries += calls;
+    if (by == ConfirmationSource::delivery) entry->deliveries += count;
     if (now < entry->confirmedAt) return;
     entry->confirmedAt = now;
     entry->confirmedBy = by;
 }
 
-bool Membership::refuteByAnswer(const std::string& endpoint, RefutationReason why, RecordMs now) {
+bool Membership::refuteByAnswer(const std::string& endpoint, RefutationReason reason, RecordMs now) {
     Entry* entry = find(endpoint);
     if (!entry || entry->isTombstone() || (discoveryLive_ && entry->listedNow)) return false;
     std::vector<std::string> touched;
-    refute(*entry, why, now, touched);
+    refute(*entry, reason, now, touched);
     return true;
 }
 
@@ -329,7 +347,8 @@
     for (const auto& entry : entries_) {
         if (!entry->suspended || now - entry->refutedAt <= policy_.shrinkHold.count()) continue;
         entry->suspended = false;
-        --presentCount_, ++tombstoneCount_;
+        --presentCount_;
+        ++tombstoneCount_;
         touched.push_back(entry->endpoint.name);
     }
     pruneTombstones(now, touched);
@@ -337,12 +356,12 @@
 }
 
 void Membership::pruneTombstones(RecordMs now, std::vector<std::string>& touched) {
-    std::vector<std::pair<RecordMs, std::string>> graves;
+    std::vector<std::pair<RecordMs, std::string>> oldestFirst;
     for (const auto& entry : entries_)
-        if (entry->isTombstone()) graves.emplace_back(entry->refutedAt, entry->endpoint.name);
-    std::sort(graves.begin(), graves.end());
-    std::size_t left = graves.size();
-    for (const auto& [at, name] : graves) {
+        if (entry->isTombstone()) oldestFirst.emplace_back(entry->refutedAt, entry->endpoint.name);
+    std::sort(oldestFirst.begin(), oldestFirst.end());
+    std::size_t left = oldestFirst.size();
+    for (const auto& [at, name] : oldestFirst) {
         if (left <= policy_.tombstones && now - at <= policy_.tombstoneAge.count()) break;
         touched.push_back(name);
         remove(name);
@@ -350,18 +369,18 @@
     }
 }
 
-// ---- looking ----
+// ---- queries ----
 
 trust::Evidence Membership::evidence(const Entry& entry) const {
-    trust::Evidence e;
-    e.listedNow = discoveryLive_ && entry.listedNow;
-    e.confirmedAt = e.listedNow ? std::max(discoverySeenAt_, entry.confirmedAt) : entry.confirmedAt;
-    e.confirmedBy = e.listedNow ? ConfirmationSource::discovery : entry.confirmedBy;
-    e.refutation = entry.refutation;
-    e.answeredThisRun = entry.answeredThisRun;
-    e.listedThisRun = entry.listedThisRun;
-    e.rateLimit = entry.endpoint.weight;
-    return e;
+    trust::Evidence result;
+    result.listedNow = discoveryLive_ && entry.listedNow;
+    result.confirmedAt = result.listedNow ? std::max(discoverySeenAt_, entry.confirmedAt) : entry.confirmedAt;
+    result.confirmedBy = result.listedNow ? ConfirmationSource::discovery : entry.confirmedBy;
+    result.refutation = entry.refutation;
+    result.answeredThisRun = entry.answeredThisRun;
+    result.listedThisRun = entry.listedThisRun;
+    result.rateLimit = entry.endpoint.weight;
+    return result;
 }
 
 trust::TrustAssessment Membership::assess(const Entry& entry, RecordMs now) const {
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,10 +1,10 @@
-// Which endpoints there are, merged from three sources: the list kept on disk, the list in the configuration,
-// and discovery. Says for each whether anything may go there now. Pure: times come in as values, lists and
-// entries go in and out, and nothing here does I/O.
+// The known endpoints, merged from three sources: the endpoint list saved on disk, the list in the
+// configuration, and discovery. Assesses for each endpoint whether messages may go there now. No I/O and no
+// clock: times are passed in. Not synchronized.
 //
-// Invariants: what discovery said last in its own numbering wins; an endpoint that drained or went is never
-// raised by an older source; an endpoint that is missing from a whole list of discovery gets nothing more,
-// however odd that list looks.
+// Invariants: the latest update of discovery wins, by discovery's index; an endpoint that drained or was
+// deleted never returns to service through an older source; an endpoint missing from a full list of discovery
+// gets no more messages, however implausible that list is.
 #pragma once
 
 #include <cstdint>
@@ -24,37 +24,38 @@
 using std::chrono::milliseconds;
 using trust::RecordMs;
 
+/// Limits for implausible lists and for tombstones, the entries of endpoints that left service.
 struct Policy {
     trust::Policy trust;
-    double shrinkShare = 0.5;         ///< a whole list under this share of the one before is suspicious ...
-    std::size_t shrinkLeast = 4;      ///< ... where that one had so many entries at least
-    milliseconds shrinkHold{30'000};  ///< what it leaves out is remembered, without messages, for so long
-    milliseconds tombstoneHold{600'000};    ///< so long a source of lost history can't raise what has gone
-    milliseconds tombstoneAge{86'400'000};  ///< older tombstones are forgotten
-    std::size_t tombstones = 512;           ///< at most so many are kept, the newest
+    double shrinkShare = 0.5;         ///< a full list under this share of the one before is suspicious ...
+    std::size_t shrinkLeast = 4;      ///< ... if that one had at least this many entries
+    milliseconds shrinkHold{30'000};  ///< how long the endpoints it leaves out stay suspended
+    milliseconds tombstoneHold{600'000};    ///< time before a source without history can end a tombstone
+    milliseconds tombstoneAge{86'400'000};  ///< older tombstones are deleted
+    std::size_t tombstones = 512;           ///< the maximum number; the oldest are deleted first
 };
 
-/// One endpoint, and all that is known of how far it may be believed.
+/// One endpoint with the evidence for and against it.
 struct Entry {
-    listing::Endpoint endpoint;  ///< as it was told last
-    std::uint64_t index = 0;     ///< of the list that told it, in discovery's numbering
+    listing::Endpoint endpoint;  ///< as last listed
+    std::uint64_t index = 0;     ///< index of the list that last contained it
     RecordMs firstListedAt = 0;
-    RecordMs confirmedAt = 0;  ///< but see Membership::evidence() while discovery is heard
-    RecordMs refutedAt = 0;    ///< since when something speaks against it
-    double deliveries = 0;     ///< calls it delivered, as far as remembered
+    RecordMs confirmedAt = 0;  ///< see Membership::evidence() for the time while discovery is live
+    RecordMs refutedAt = 0;    ///< when `refutation` was set
+    double deliveries = 0;     ///< messages it accepted; fades at each start
     trust::ConfirmationSource confirmedBy = trust::ConfirmationSource::configuration;
     trust::RefutationReason refutation = trust::RefutationReason::none;
-    bool listedNow = false;        ///< discovery named it, or stood by it, on the stream that is heard now
-    bool answeredThisRun = false;  ///< it delivered or answered a probe in this life
-    bool listedThisRun = false;    ///< discovery named it in this life
-    bool suspended = false;        ///< missing from a suspiciously small list
-    trust::TrustLevel trustLevel =
-        trust::TrustLevel::refuted;  ///< as judged last; see Membership::judgeAll()
-    bool probeFirst = false;
+    bool listedNow = false;        ///< discovery listed or confirmed it on the present stream
+    bool answeredThisRun = false;  ///< it accepted a message or answered a probe in this process run
+    bool listedThisRun = false;    ///< discovery listed it in this process run
+    bool suspended = false;        ///< left out by a suspiciously small list; gets no messages
+    trust::TrustLevel trustLevel = trust::TrustLevel::refuted;  ///< as last assessed; set by the roster
+    bool probeFirst = false;  ///< as last assessed: no message before a probe; set by the roster
+    /// True if the endpoint left service; suspended endpoints have not.
     bool isTombstone() const { return refutation != trust::RefutationReason::none && !suspended; }
 };
 
-/// Orders entries by name, and finds them by it: the name is held once.
+/// Orders and finds entries by the name that they hold, so that no second copy of it is stored.
 struct OrderByName {
     using is_transparent = void;
     static std::string_view key(std::string_view name) { return name; }
@@ -63,52 +64,59 @@
 };
 using Entries = std::set<std::unique_ptr<Entry>, OrderByName>;
 
-/// What became of a list that discovery sent.
+/// The result of merging a list from discovery.
 struct ListUpdateResult {
     enum class Kind {
-        merged,          ///< merged
-        unchanged,       ///< nothing new in it
-        fullListNeeded,  ///< its numbering does not fit what is known: only the whole list makes it good
-        lostHistory      ///< a whole list of lower index: discovery has lost its history; merged
+        merged,          ///< the list was merged
+        unchanged,       ///< it has nothing new
+        fullListNeeded,  ///< its index does not fit the known one; request the full list
+        lostHistory      ///< a full list of lower index was merged: discovery lost its history
     };
     Kind kind = Kind::merged;
-    std::vector<std::string> touched;  ///< endpoints whose entries changed
-    std::size_t suspended = 0;         ///< entries that a suspiciously small list left out
+    std::vector<std::string> touched;  ///< names of endpoints whose entries changed
+    std::size_t suspended = 0;         ///< number of endpoints that a suspiciously small list left out
 };
 
 class Membership {
   public:
     explicit Membership(const Policy& policy) : policy_(policy) {}
 
-    // -- at the start, in this order --
-    /// An entry of the kept list, as it was.
+    // At the start, in this order:
+
+    /// Restores an entry of the saved endpoint list.
     void restore(Entry entry);
+    /// Restores the index, the epoch and the churn of the saved endpoint list.
     void restore(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn);
-    /// The list of the configuration. A newer index than the kept one's replaces it; an older one adds only
-    /// what no kept list could have known to be gone.
+    /// Merges the list of the configuration: it replaces older entries if its index is higher than that of
+    /// the saved list or if there is no saved list, and is ignored otherwise.
     void applyConfiguration(const listing::EndpointList& list, RecordMs now);
 
-    // -- while it runs --
+    // While running:
+
+    /// Merges a list from discovery, full or only of changes.
     ListUpdateResult applyUpdate(const listing::EndpointList& list, RecordMs now);
-    /// Discovery is heard, and has nothing new. `verified`: its numbering is known to be ours.
+    /// Discovery is reachable and has nothing new. `verified`: its index is known to continue ours.
     void discoverySeen(RecordMs now, bool verified);
-    /// The stream ended: from now on entries age.
+    /// The stream from discovery ended: from now on, confirmations age.
     void discoveryLost(RecordMs now);
-    /// A call was delivered, or a probe answered, there.
+    /// The endpoint accepted `count` messages or answered a probe.
     void recordAnswer(const std::string& endpoint, trust::ConfirmationSource by, RecordMs now,
-                      double calls = 1);
-    /// What answered at the address is not the endpoint. Passed over while discovery stands by it.
-    bool refuteByAnswer(const std::string& endpoint, trust::RefutationReason refutation, RecordMs now);
-    /// Ends what is only held for a time. Returns the endpoints touched.
+                      double count = 1);
+    /// The server at the address turned out not to be the endpoint. Ignored, returning false, while discovery
+    /// lists the endpoint.
+    bool refuteByAnswer(const std::string& endpoint, trust::RefutationReason reason, RecordMs now);
+    /// Turns expired suspensions into tombstones and deletes expired tombstones. Returns the changed
+    /// endpoints.
     std::vector<std::string> expire(RecordMs now);
 
-    // -- looking --
+    // Queries:
+
     trust::Evidence evidence(const Entry& entry) const;
     trust::TrustAssessment assess(const Entry& entry, RecordMs now) const;
     milliseconds halfLife() const { return churn_.halfLife(policy_.trust); }
     const Entry* find(const std::string& endpoint) const;
     Entry* find(const std::string& endpoint);
-    /// The endpoints of a destination, in no order.
+    /// Returns the endpoints of a destination, in no particular order.
     const std::vector<Entry*>& endpointsOf(std::uint64_t destination) const;
     const Entries& entries() const { return entries_; }
     std::size_t tombstoneCount() const;
@@ -119,11 +127,12 @@
     RecordMs discoverySeenAt() const { return discoverySeenAt_; }
 
   private:
-    Entry& findOrCreate(const listing::Endpoint& told);
+    Entry& findOrCreate(const listing::Endpoint& listed);
     void remove(const std::string& endpoint);
-    bool mergeEndpoint(const listing::Endpoint& said, std::uint64_t index, RecordMs now, bool lostHistory,
+    bool mergeEndpoint(const listing::Endpoint& update, std::uint64_t index, RecordMs now, bool lostHistory,
                        std::vector<std::string>& touched);
-    void refute(Entry& entry, trust::RefutationReason why, RecordMs now, std::vector<std::string>& touched);
+    void refute(Entry& entry, trust::RefutationReason reason, RecordMs now,
+                std::vector<std::string>& touched);
     void claimAddress(Entry& entry, RecordMs now, std::vector<std::string>& touched);
     void removeFromDestination(const Entry& entry);
     void releaseAddress(const Entry& entry);
@@ -133,16 +142,17 @@
     Policy policy_;
     Entries entries_;
     std::unordered_map<std::uint64_t, std::vector<Entry*>> byDestination_;
-    // Who has an address, as far as known; by the hash of the address, which saves a second copy of it. Where
-    // two have one hash the younger stands there, and a reuse of the older's address would go unseen.
+    // The endpoint at each address, by the hash of the address, which saves a second copy of it. If two
+    // hashes collide, only the later entry is found, and a reuse of the other one's address goes unnoticed.
     std::unordered_map<std::size_t, Entry*> byAddress_;
     trust::Churn churn_;
     std::uint64_t index_ = 0, epoch_ = 0;
-    bool discoveryLive_ = false;  // discovery is heard, in our numbering
-    bool listReceived_ = false;   // a list of discovery was merged in this life
+    bool discoveryLive_ = false;  // discovery is reachable and its index continues ours
+    bool listReceived_ = false;   // a list from discovery was merged in this process run
     RecordMs discoverySeenAt_ = 0, churnUpdatedAt_ = 0;
-    double changesSinceUpdate_ = 0;  // since churnUpdatedAt_
-    std::size_t presentCount_ = 0, tombstoneCount_ = 0;
+    double changesSinceUpdate_ = 0;  // entries that changed since churnUpdatedAt_
+    std::size_t presentCount_ = 0;   // entries that are no tombstones
+    std::size_t tombstoneCount_ = 0;
 };
 
 }  // namespace laurelhaven::membership
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// The merge of kept list, configuration and discovery.
+// Membership: merging the saved endpoint list, the configuration and discovery.
 #include "membership/membership.hpp"
 
 #include <gtest/gtest.h>
@@ -25,8 +25,8 @@
                            Status status = Status::serving) {
     return {name, address, "z", "big", group, status, 4, 0};
 }
-listing::EndpointList list(std::uint64_t index, bool whole, std::vector<listing::Endpoint> endpoints) {
-    return {index, whole, std::move(endpoints)};
+listing::EndpointList list(std::uint64_t index, bool full, std::vector<listing::Endpoint> endpoints) {
+    return {index, full, std::move(endpoints)};
 }
 listing::EndpointList fleet(std::uint64_t index, int n) {
     std::vector<listing::Endpoint> all;
@@ -34,8 +34,8 @@
         all.push_back(endpoint("e" + std::to_string(i), "127.0.0.1:" + std::to_string(1000 + i)));
     return list(index, true, std::move(all));
 }
-Entry kept(const std::string& name, const std::string& address, std::uint64_t index, milliseconds ago,
-           RefutationReason against = RefutationReason::none) {
+Entry saved(const std::string& name, const std::string& address, std::uint64_t index, milliseconds ago,
+            RefutationReason against = RefutationReason::none) {
     Entry e;
     e.endpoint = endpoint(name, address);
     e.index = index;
@@ -54,26 +54,26 @@
     return l == TrustLevel::confirmed || l == TrustLevel::ageing;
 }
 
-TEST(Membership, WhatDrainedInTheLastLifeIsNotRaisedByTheConfiguration) {
+TEST(Membership, ConfigurationDoesNotReviveEndpointsDrainedInThePreviousRun) {
     Membership m({});
     m.restore(41, 0, {});
-    m.restore(kept("a", "127.0.0.1:1", 41, 5s, RefutationReason::drained));
-    m.restore(kept("b", "127.0.0.1:2", 30, 5s));
+    m.restore(saved("a", "127.0.0.1:1", 41, 5s, RefutationReason::drained));
+    m.restore(saved("b", "127.0.0.1:2", 30, 5s));
     m.applyConfiguration(
         list(35, true,
              {endpoint("a", "127.0.0.1:1"), endpoint("b", "127.0.0.1:2"), endpoint("old", "127.0.0.1:3")}),
         kNow);
     EXPECT_FALSE(usable(m, "a"));
     EXPECT_TRUE(usable(m, "b"));
-    EXPECT_EQ(m.find("old"), nullptr);  // the younger kept list does not know it
+    EXPECT_EQ(m.find("old"), nullptr);  // the newer saved list does not contain it
     EXPECT_EQ(m.index(), 41u);
 }
 
-TEST(Membership, ANewerConfigurationReplacesTheKeptList) {
+TEST(Membership, NewerConfigurationReplacesTheSavedList) {
     Membership m({});
     m.restore(41, 0, {});
-    m.restore(kept("a", "127.0.0.1:1", 41, 5s));
-    m.restore(kept("b", "127.0.0.1:2", 41, 5s, RefutationReason::drained));
+    m.restore(saved("a", "127.0.0.1:1", 41, 5s));
+    m.restore(saved("b", "127.0.0.1:2", 41, 5s, RefutationReason::drained));
     m.applyConfiguration(list(50, true, {endpoint("b", "127.0.0.1:2"), endpoint("c", "127.0.0.1:3")}), kNow);
     EXPECT_FALSE(usable(m, "a"));
     EXPECT_TRUE(usable(m, "b"));
@@ -81,33 +81,34 @@
     EXPECT_EQ(m.index(), 50u);
 }
 
-TEST(Membership, ANewIdAtAnAddressTakesItFromTheOldOne) {
+TEST(Membership, NewEndpointTakesOverTheAddressOfAnOldOne) {
     Membership m({});
     m.restore(41, 0, {});
-    m.restore(kept("a", "127.0.0.1:1", 41, 5s));
-    const auto heard = m.applyUpdate(list(42, false, {endpoint("b", "127.0.0.1:1")}), kNow);
-    EXPECT_EQ(heard.kind, ListUpdateResult::Kind::merged);
+    m.restore(saved("a", "127.0.0.1:1", 41, 5s));
+    const auto result = m.applyUpdate(list(42, false, {endpoint("b", "127.0.0.1:1")}), kNow);
+    EXPECT_EQ(result.kind, ListUpdateResult::Kind::merged);
     EXPECT_EQ(m.find("a")->refutation, RefutationReason::addressReassigned);
     EXPECT_FALSE(usable(m, "a"));
     EXPECT_TRUE(usable(m, "b"));
-    // The list that names both knows better: it is one index.
+    // Two endpoints at one address in one list, of the same index, both stay in service.
     Membership both({});
     both.applyUpdate(list(5, true, {endpoint("a", "127.0.0.1:1"), endpoint("b", "127.0.0.1:1")}), kNow);
     EXPECT_TRUE(usable(both, "a") && usable(both, "b"));
 }
 
-TEST(Membership, AnAddressThatMovedIsAnotherPlace) {
+TEST(Membership, MovedEndpointIsNoLongerKnownToAnswer) {
     Membership m({});
     m.applyUpdate(list(5, true, {endpoint("a", "127.0.0.1:1")}), kNow);
     m.recordAnswer("a", trust::ConfirmationSource::delivery, kNow);
     m.applyUpdate(list(6, false, {endpoint("a", "127.0.0.1:9")}), kNow);
     EXPECT_EQ(m.find("a")->endpoint.address, "127.0.0.1:9");
     EXPECT_FALSE(m.find("a")->answeredThisRun);
-    m.applyUpdate(list(7, false, {endpoint("b", "127.0.0.1:1")}), kNow);  // where it was is free for another
+    // Its old address is free for another endpoint.
+    m.applyUpdate(list(7, false, {endpoint("b", "127.0.0.1:1")}), kNow);
     EXPECT_TRUE(usable(m, "a") && usable(m, "b"));
 }
 
-TEST(Membership, DrainsAndDeletionsHoldAtOnceAndOnlySomethingYoungerRaisesThem) {
+TEST(Membership, OnlyANewerUpdateRevivesADrainedOrDeletedEndpoint) {
     Membership m({});
     m.applyUpdate(fleet(5, 3), kNow);
     m.applyUpdate(list(6, false,
@@ -122,7 +123,7 @@
     EXPECT_TRUE(usable(m, "e0"));
 }
 
-TEST(Membership, ADiscoveryThatLostItsHistoryIsRecognisedAndRaisesNothing) {
+TEST(Membership, DiscoveryThatLostItsHistoryIsDetectedAndRevivesNothing) {
     Membership m({});
     m.applyUpdate(fleet(50, 6), kNow);
     m.applyUpdate(list(51, false, {endpoint("e0", "127.0.0.1:1000", 1, Status::draining)}), kNow);
@@ -130,33 +131,34 @@
     EXPECT_EQ(m.applyUpdate(list(3, false, {endpoint("e9", "127.0.0.1:2000")}), kNow).kind,
               ListUpdateResult::Kind::fullListNeeded);
     EXPECT_EQ(m.find("e9"), nullptr);
-    auto whole = fleet(3, 6);
-    const auto heard = m.applyUpdate(whole, kNow + 1000);
-    EXPECT_EQ(heard.kind, ListUpdateResult::Kind::lostHistory);
+    auto full = fleet(3, 6);
+    const auto result = m.applyUpdate(full, kNow + 1000);
+    EXPECT_EQ(result.kind, ListUpdateResult::Kind::lostHistory);
     EXPECT_EQ(m.index(), 3u);
     EXPECT_EQ(m.epoch(), 1u);
-    EXPECT_FALSE(usable(m, "e0", kNow + 1000));  // it drained; an older source says it serves
+    // It drained, and a source without history lists it as serving.
+    EXPECT_FALSE(usable(m, "e0", kNow + 1000));
     EXPECT_TRUE(usable(m, "e1", kNow + 1000));
-    // From here on its own numbering counts, and its news is news.
+    // From now on the new numbering applies, and updates are merged.
     EXPECT_EQ(m.applyUpdate(list(4, false, {endpoint("e7", "127.0.0.1:3000")}), kNow + 2000).kind,
               ListUpdateResult::Kind::merged);
     EXPECT_TRUE(usable(m, "e7", kNow + 2000));
-    // It started again after it drained: it is another life of it.
-    whole.index = 2;
-    whole.endpoints[0].startedAtMs = kNow + 500;
-    m.applyUpdate(whole, kNow + 3000);
+    // It was started again after it drained, so it may serve.
+    full.index = 2;
+    full.endpoints[0].startedAtMs = kNow + 500;
+    m.applyUpdate(full, kNow + 3000);
     EXPECT_TRUE(usable(m, "e0", kNow + 3000));
 }
 
-TEST(Membership, ASuspiciouslySmallListIsRememberedForAWhileAndSentNothing) {
+TEST(Membership, EndpointsLeftOutByASuspiciouslySmallListAreSuspendedForAWhile) {
     Membership m({});
     m.applyUpdate(fleet(5, 10), kNow);
-    const auto heard = m.applyUpdate(list(6, true, {}), kNow);
-    EXPECT_EQ(heard.suspended, 10u);
+    const auto result = m.applyUpdate(list(6, true, {}), kNow);
+    EXPECT_EQ(result.suspended, 10u);
     EXPECT_FALSE(usable(m, "e0"));
     EXPECT_EQ(m.endpointsOf(1).size(), 10u);
     EXPECT_FALSE(m.find("e0")->isTombstone());
-    m.applyUpdate(fleet(7, 10), kNow + 2000);  // named again: as before
+    m.applyUpdate(fleet(7, 10), kNow + 2000);  // listed again: in service as before
     EXPECT_TRUE(usable(m, "e0", kNow + 2000));
     EXPECT_EQ(m.applyUpdate(list(8, true, {}), kNow + 3000).suspended, 10u);
     EXPECT_TRUE(m.expire(kNow + 4000).empty());
@@ -164,22 +166,22 @@
     EXPECT_TRUE(m.find("e0")->isTombstone());
 }
 
-TEST(Membership, AListThatIsALittleSmallerIsTakenAsItIs) {
+TEST(Membership, SlightlySmallerListIsMergedAsItIs) {
     Membership m({});
     m.applyUpdate(fleet(5, 10), kNow);
     EXPECT_EQ(m.applyUpdate(fleet(6, 8), kNow).suspended, 0u);
     EXPECT_TRUE(m.find("e9")->isTombstone());
-    // The first list of a life is not compared with what an old file says.
+    // The first list of a process run is not compared with older data.
     Membership fresh({});
     fresh.applyConfiguration(fleet(5, 10), kNow);
     EXPECT_EQ(fresh.applyUpdate(fleet(6, 2), kNow).suspended, 0u);
 }
 
-TEST(Membership, ChangesAfterOurVersionStandByTheRest) {
+TEST(Membership, ChangesRelativeToAKnownIndexConfirmAllOtherEndpoints) {
     Membership m({});
     m.restore(41, 0, {});
-    m.restore(kept("a", "127.0.0.1:1", 41, 24h));
-    m.restore(kept("b", "127.0.0.1:2", 41, 24h));
+    m.restore(saved("a", "127.0.0.1:1", 41, 24h));
+    m.restore(saved("b", "127.0.0.1:2", 41, 24h));
     EXPECT_EQ(level(m, "a"), TrustLevel::stale);
     m.applyUpdate(list(42, false, {endpoint("c", "127.0.0.1:3")}), kNow);
     EXPECT_EQ(level(m, "a"), TrustLevel::confirmed);
@@ -189,10 +191,10 @@
     EXPECT_EQ(level(m, "a", kNow + 60000), TrustLevel::ageing);
 }
 
-TEST(Membership, ProbesAndStrangersCountOnlyWhileDiscoveryIsSilent) {
+TEST(Membership, AnswersCountOnlyWhileDiscoveryIsDown) {
     Membership m({});
     m.restore(41, 0, {});
-    m.restore(kept("a", "127.0.0.1:1", 41, 24h));
+    m.restore(saved("a", "127.0.0.1:1", 41, 24h));
     m.recordAnswer("a", trust::ConfirmationSource::probe, kNow);
     EXPECT_TRUE(usable(m, "a"));
     EXPECT_TRUE(m.refuteByAnswer("a", RefutationReason::unexpectedServer, kNow));
@@ -221,26 +223,26 @@
     EXPECT_EQ(m.entries().size(), 0u);
 }
 
-// Whatever comes in whatever order: an endpoint whose last word from discovery, by index, is that it drained
-// or went is never usable, and the tables agree with each other.
-TEST(Membership, RandomNewsNeverRaisesWhatIsGone) {
+// Random updates in random order: an endpoint that drained or was deleted in the latest update of discovery,
+// by index, is never usable, and the tables stay consistent.
+TEST(Membership, RandomUpdatesNeverReviveWhatIsGone) {
     for (unsigned seed = 1; seed <= 300; ++seed) {
-        std::mt19937_64 chance(seed);
-        const auto below = [&](std::uint64_t n) { return chance() % n; };
+        std::mt19937_64 generator(seed);
+        const auto below = [&](std::uint64_t n) { return generator() % n; };
         Membership m({});
-        std::map<std::string, bool> gone;  // as discovery said last
+        std::map<std::string, bool> gone;  // by the latest update of discovery
         std::uint64_t index = 10;
         RecordMs now = kNow;
         for (int step = 0; step < 60; ++step) {
             now += static_cast<RecordMs>(below(5000));
             const auto name = "e" + std::to_string(below(8));
             const auto at = "127.0.0.1:" + std::to_string(100 + below(10));
-            const auto draw = below(10);
-            if (draw < 6) {
+            const auto action = below(10);
+            if (action < 6) {
                 const auto status = static_cast<Status>(below(3));
                 m.applyUpdate(list(++index, false, {endpoint(name, at, 1 + below(3), status)}), now);
                 if (status != Status::deleted || gone.count(name)) gone[name] = status != Status::serving;
-            } else if (draw < 7) {
+            } else if (action < 7) {
                 std::set<std::string> named;
                 std::vector<listing::Endpoint> all;
                 for (int i = 0; i < 8; ++i)
@@ -253,24 +255,26 @@
                 for (int i = 0; i < 8; ++i)
                     if (const auto n = "e" + std::to_string(i); named.count(n) || gone.count(n))
                         gone[n] = !named.count(n);
-            } else if (draw < 8) {  // an agent that is behind
+            } else if (action < 8) {  // an update from an agent that lags behind
                 m.applyUpdate(list(index - 5, false, {endpoint(name, at)}), now);
-            } else if (draw < 9) {
+            } else if (action < 9) {
                 m.discoveryLost(now);
             } else {
                 m.recordAnswer(name, trust::ConfirmationSource::delivery, now);
                 m.expire(now);
             }
-            std::size_t graves = 0, members = 0;
+            std::size_t tombstones = 0, members = 0;
             for (const auto& entry : m.entries()) {
-                graves += entry->isTombstone();
-                const auto& fellows = m.endpointsOf(entry->endpoint.destination);
-                members += static_cast<std::size_t>(std::count(fellows.begin(), fellows.end(), entry.get()));
+                tombstones += entry->isTombstone();
+                const auto& endpoints = m.endpointsOf(entry->endpoint.destination);
+                members +=
+                    static_cast<std::size_t>(std::count(endpoints.begin(), endpoints.end(), entry.get()));
                 const auto& id = entry->endpoint.name;
-                const bool over = gone.count(id) && gone[id];
-                ASSERT_FALSE(over && usable(m, id, now)) << "seed " << seed << " step " << step << " " << id;
+                const bool leftService = gone.count(id) && gone[id];
+                ASSERT_FALSE(leftService && usable(m, id, now))
+                    << "seed " << seed << " step " << step << " " << id;
             }
-            ASSERT_EQ(graves, m.tombstoneCount()) << "seed " << seed;
+            ASSERT_EQ(tombstones, m.tombstoneCount()) << "seed " << seed;
             ASSERT_EQ(members, m.entries().size()) << "seed " << seed;
         }
     }
