--- a/src/kept/kept.hpp
+++ b/src/kept/kept.hpp
@@ -1,7 +1,7 @@
-// The list of endpoints as it is kept on disk, with what was known of each destination: a versioned file of
-// checksummed records, appended to and from time to time written anew. It survives SIGKILL at any byte
-// without fsync: a record is whole or not there, and a new file takes the old one's name in one step. What
-// can't be read is named and costs at most its own content, never the start.
+// The endpoint list saved on disk, with the health of each destination: a versioned file of checksummed
+// records (store/frame.hpp) that is appended to and from time to time rewritten. It survives SIGKILL at any
+// byte without fsync: a torn record is recognized and dropped, and a rewritten file replaces the old one by
+// rename. Unreadable content is reported and lost, but never prevents a start.
 #pragma once
 
 #include <cstdint>
@@ -18,63 +18,79 @@
 
 using trust::RecordMs;
 
-/// What a later life ought to know of a destination.
+/// What a later run needs to know of a destination.
 struct DestinationHealth {
     std::uint64_t destination = 0;
-    bool down = false;          ///< in an outage when it was written
-    RecordMs recoveredAt = 0;   ///< when its last outage ended, while it may still be cold; 0: it is not
-    RecordMs lastOutageAt = 0;  ///< when an outage was last seen; 0: never
-    double rateLimit = 0;       ///< its limit in calls a second; 0: not known
+    bool down = false;          ///< in an outage when this was written
+    RecordMs recoveredAt = 0;   ///< when its last outage ended, during its warm-up; 0: not warming up
+    RecordMs lastOutageAt = 0;  ///< when an outage was last seen; 0: never seen
+    double rateLimit = 0;       ///< its announced limit in requests per second; 0: unknown
     bool operator==(const DestinationHealth&) const = default;
 };
 
-/// All that a file holds.
+/// The content of a file.
 struct SavedEndpointList {
-    std::string sender;      ///< whose it is
-    RecordMs writtenAt = 0;  ///< the last time anything was written
+    std::string sender;      ///< name of the sender that wrote it
+    RecordMs writtenAt = 0;  ///< the latest time in any record
     std::uint64_t index = 0, epoch = 0;
     trust::Churn churn;
     std::map<std::string, membership::Entry, std::less<>> entries;
     std::map<std::uint64_t, DestinationHealth> destinationHealth;
 };
 
-/// What reading came to. Everything but `good` and `absent` is named in the log.
-enum class FileState { good, absent, torn, damaged, foreign, newer, oversized };
+/// The condition of a file. All but `good` and `absent` are logged.
+enum class FileState {
+    good,
+    absent,    ///< no file, or an empty one
+    torn,      ///< bytes at its end are no complete record
+    damaged,   ///< a part inside can't be read
+    foreign,   ///< not written by this program, or by another sender
+    newer,     ///< written in a later version of the format
+    oversized  ///< larger than its budget
+};
 const char* name(FileState state);
 
+/// What could be read of a file.
 struct LoadResult {
     FileState state = FileState::absent;
-    std::string problem;  ///< one sentence where it is not good
+    std::string problem;  ///< what is wrong, unless it is good or absent
     SavedEndpointList list;
     std::size_t bytes = 0, records = 0;
-    bool writtenInFuture = false;  ///< it was written later than now: the clock was set back
+    bool writtenInFuture = false;  ///< a record is later than now: the clock was set back
 };
 
-/// Pure: the bytes of a file into values. Never throws, whatever the bytes are. `sender` empty: anybody's.
+/// Decodes the bytes of a file. Accepts any bytes without throwing. An empty `sender` accepts the list of any
+/// sender. No I/O.
 LoadResult parse(std::string_view bytes, const std::string& sender, RecordMs now);
 
-// One record each, framed.
+// Each returns one framed record.
+
+/// The first record of a file.
 std::string encodeHeader(const std::string& sender, RecordMs now);
 std::string encode(const membership::Entry& entry);
+/// Removes an endpoint that an earlier record added.
 std::string encodeRemoval(const std::string& endpoint);
+/// The state of the list as a whole. Reading it sets the confirmation time of all endpoints in service to
+/// `now`; with `now` 0 it confirms none.
 std::string encodeListState(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn,
                             RecordMs now);
-std::string encode(const DestinationHealth& standing);
+std::string encode(const DestinationHealth& health);
 
-/// The file itself. Calls are made by one thread at a time.
+/// The file endpoints.list in the state folder. Not thread-safe: callers serialize access.
 class SavedEndpointListFile {
   public:
-    /// The file and the copy that replaces it stay inside `budget` bytes together.
+    /// The file and the copy that replaces it together use at most `budget` bytes.
     SavedEndpointListFile(const std::string& folder, std::uint64_t budget, std::string sender);
+    /// Reads the file. Retries failing reads for about a second.
     LoadResult load(RecordMs now);
-    /// Adds records to the file. False where they have no room or could not be written: write it anew.
+    /// Appends records. Returns false if there is no room or they could not be written; then call replace().
     bool append(std::string_view records);
-    /// Replaces the file. Records are given in the order of their worth; those without room are left out, and
-    /// their number is returned in `left`; `last` is always written. False where it could not be written; the
-    /// old file stays then.
+    /// Replaces the file by one with `records`, the most important first, and `last` at its end. Records
+    /// without room are left out and counted in `omitted`; there is always room for `last`. Returns false if
+    /// the new file could not be written; the old one then stays.
     bool replace(const std::vector<std::string>& records, const std::string& last, RecordMs now,
-                 std::size_t& left);
-    /// Worth writing anew: over half of it is out of date, or nearly full.
+                 std::size_t& omitted);
+    /// True if more than half of the file is out of date or it is nearly full.
     bool needsRewrite() const {
         return fileBytes_ > 2 * bytesAfterRewrite_ + kRewriteSlackBytes ||
                fileBytes_ > maxBytes_ - maxBytes_ / 8;
@@ -85,12 +101,13 @@
   private:
     static constexpr std::uint64_t kRewriteSlackBytes = 8 * 1024;
     std::string path_, sender_;
-    std::uint64_t maxBytes_;  // bytes of one copy
+    std::uint64_t maxBytes_;  // budget of one copy
     std::uint64_t fileBytes_ = 0, bytesAfterRewrite_ = 0;
     net::Fd fd_;
 };
 
-/// The part of the state folder's bytes that the list may have, out of what the platform gives.
-std::uint64_t listBudgetBytes(std::uint64_t diskBytes, double part);
+/// The budget of the list, in bytes: `share` of the disk space of the state folder, rounded down so that each
+/// of two copies fills whole blocks.
+std::uint64_t listBudgetBytes(std::uint64_t diskBytes, double share);
 
 }  // namespace laurelhaven::kept
--- a/tests/kept/kept_test.cpp
+++ b/tests/kept/kept_test.cpp
@@ -1,4 +1,4 @@
-// The kept list on disk: what is written comes back, and whatever a file holds never ends a start.
+// The endpoint list saved on disk: what is written can be read, and no content of a file prevents a start.
 #include "kept/kept.hpp"
 
 #include <gtest/gtest.h>
@@ -50,7 +50,7 @@
     return text + kept::encodeListState(77, 2, churn, 0);
 }
 
-TEST(Kept, WhatIsWrittenComesBack) {
+TEST(SavedEndpointList, ReadsWhatWasWritten) {
     const auto loaded = kept::parse(sample(), "n0", kNow);
     ASSERT_EQ(loaded.state, kept::FileState::good) << loaded.problem;
     EXPECT_EQ(loaded.list.index, 77u);
@@ -66,7 +66,7 @@
     EXPECT_EQ(loaded.list.destinationHealth.at(7), (kept::DestinationHealth{7, true, 0, kNow - 100, 4.5}));
 }
 
-TEST(Kept, LaterRecordsReplaceAndRemove) {
+TEST(SavedEndpointList, LaterRecordsReplaceAndRemove) {
     auto text = sample();
     auto gone = entry(1, trust::RefutationReason::drained);
     text += kept::encode(gone) + kept::encodeRemoval("s-2");
@@ -75,7 +75,7 @@
     EXPECT_FALSE(loaded.list.entries.count("s-2"));
 }
 
-TEST(Kept, AMarkConfirmsWhatStoodThenAndNothingThatIsGone) {
+TEST(SavedEndpointList, ListStateConfirmsEndpointsInServiceOnly) {
     auto text = sample() + kept::encode(entry(1, trust::RefutationReason::drained)) +
                 kept::encodeListState(78, 2, {}, kNow - 10);
     const auto loaded = kept::parse(text, "n0", kNow);
@@ -84,12 +84,12 @@
     EXPECT_EQ(loaded.list.entries.at("s-1").confirmedAt, kNow - 1000);
 }
 
-TEST(Kept, CutAtAnyByteItHoldsAWholePrefix) {
+TEST(SavedEndpointList, TruncatedFileYieldsItsCompleteRecords) {
     const auto text = sample();
     std::size_t most = 0;
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
         const auto loaded = kept::parse(std::string_view(text).substr(0, cut), "n0", kNow);
-        EXPECT_GE(loaded.list.entries.size(), most) << cut;  // never less for more bytes
+        EXPECT_GE(loaded.list.entries.size(), most) << cut;  // more bytes never yield fewer entries
         most = loaded.list.entries.size();
         if (cut > 0 && cut < text.size()) {
             EXPECT_TRUE(loaded.state == kept::FileState::torn || loaded.state == kept::FileState::good ||
@@ -100,19 +100,19 @@
     EXPECT_EQ(most, 6u);
 }
 
-TEST(Kept, OneDamagedByteCostsAtMostItsOwnRecord) {
+TEST(SavedEndpointList, DamagedByteCostsAtMostItsOwnRecord) {
     const auto text = sample();
     const auto head = kept::encodeHeader("n0", kNow).size();
     for (std::size_t at = head; at < text.size(); ++at) {
-        auto bad = text;
-        bad[at] = static_cast<char>(bad[at] ^ 0x41);
-        const auto loaded = kept::parse(bad, "n0", kNow);
+        auto damaged = text;
+        damaged[at] = static_cast<char>(damaged[at] ^ 0x41);
+        const auto loaded = kept::parse(damaged, "n0", kNow);
         EXPECT_GE(loaded.list.entries.size(), 5u) << at;
         EXPECT_TRUE(loaded.state == kept::FileState::damaged || loaded.state == kept::FileState::torn) << at;
     }
 }
 
-TEST(Kept, NamesWhatItIsNot) {
+TEST(SavedEndpointList, ReportsFilesThatItCannotUse) {
     EXPECT_EQ(kept::parse("", "n0", kNow).state, kept::FileState::absent);
     EXPECT_EQ(kept::parse("#!/bin/sh\n", "n0", kNow).state, kept::FileState::foreign);
     EXPECT_EQ(kept::parse(sample(), "n1", kNow).state, kept::FileState::foreign);
@@ -127,11 +127,11 @@
     EXPECT_FALSE(kept::parse(sample(), "n0", kNow).writtenInFuture);
 }
 
-TEST(Kept, RecordsOfNoSenseAreSkippedAndNamed) {
-    for (const auto& odd :
+TEST(SavedEndpointList, MalformedRecordsAreSkippedAndReported) {
+    for (const auto& malformed :
          {store::PayloadWriter('E').text("x").finish(), store::PayloadWriter('Q').finish(),
           store::PayloadWriter('M').number(1).finish(), store::PayloadWriter('S').finish()}) {
-        const auto loaded = kept::parse(sample() + store::encodeFrame("LHK1", odd), "n0", kNow);
+        const auto loaded = kept::parse(sample() + store::encodeFrame("LHK1", malformed), "n0", kNow);
         EXPECT_EQ(loaded.state, kept::FileState::damaged);
         EXPECT_EQ(loaded.list.entries.size(), 6u);
     }
@@ -140,30 +140,30 @@
     EXPECT_EQ(kept::parse(sample() + kept::encode(nowhere), "n0", kNow).list.entries.count("s-9"), 0u);
 }
 
-TEST(Kept, GarbageNeverEndsAStart) {
+TEST(SavedEndpointList, ReadsGarbageWithoutFailing) {
     check::Chance chance(11);
     const auto text = sample(20);
     for (int round = 0; round < 3000; ++round) {
-        auto bad = check::garbage(chance, text);
-        if (round % 3 == 0) bad += text.substr(check::below(chance, text.size()));
-        const auto loaded = kept::parse(bad, "n0", kNow);
+        auto damaged = check::garbage(chance, text);
+        if (round % 3 == 0) damaged += text.substr(check::below(chance, text.size()));
+        const auto loaded = kept::parse(damaged, "n0", kNow);
         EXPECT_LE(loaded.list.entries.size(), 20u);
         for (const auto& [name, e] : loaded.list.entries)
             EXPECT_TRUE(e.refutation != trust::RefutationReason::none || net::address(e.endpoint.address));
     }
 }
 
-struct OnDisk : testing::Test {
+struct SavedEndpointListFile : testing::Test {
     check::Folder folder;
     std::string path = folder.path + "/endpoints.list";
-    std::size_t left = 0;
+    std::size_t omitted = 0;
     void SetUp() override { log::setLevel(log::Level::off); }
     std::vector<std::string> records(int n) {
         std::vector<std::string> all;
         for (int i = 0; i < n; ++i) all.push_back(kept::encode(entry(i)));
         return all;
     }
-    std::uint64_t used() {
+    std::uint64_t usedBytes() {
         std::uint64_t bytes = 0;
         for (const auto& f : std::filesystem::directory_iterator(folder.path))
             bytes += (std::filesystem::file_size(f) + 511) / 512 * 512;
@@ -171,12 +171,12 @@
     }
 };
 
-TEST_F(OnDisk, AppendsAndComesBack) {
+TEST_F(SavedEndpointListFile, ReadsAppendedRecords) {
     kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
     EXPECT_EQ(file.load(kNow).state, kept::FileState::absent);
-    EXPECT_FALSE(file.append(kept::encode(entry(1))));  // nothing to append to yet
-    ASSERT_TRUE(file.replace(records(3), kept::encodeListState(5, 0, {}, 0), kNow, left));
-    EXPECT_EQ(left, 0u);
+    EXPECT_FALSE(file.append(kept::encode(entry(1))));  // there is no file yet
+    ASSERT_TRUE(file.replace(records(3), kept::encodeListState(5, 0, {}, 0), kNow, omitted));
+    EXPECT_EQ(omitted, 0u);
     ASSERT_TRUE(file.append(kept::encode(entry(8)) + kept::encodeRemoval("s-0")));
     kept::SavedEndpointListFile again(folder.path, kBudget, "n0");
     const auto loaded = again.load(kNow);
@@ -185,27 +185,27 @@
     EXPECT_TRUE(loaded.list.entries.count("s-8"));
 }
 
-TEST_F(OnDisk, StaysInsideItsBudgetWithBothCopies) {
+TEST_F(SavedEndpointListFile, BothCopiesStayWithinTheBudget) {
     kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
     for (int round = 0; round < 300; ++round) {
         if (round == 0 || file.needsRewrite() || !file.append(kept::encode(entry(round)))) {
-            std::ofstream(path + ".new") << std::string(100, 'x');  // as a crash would leave one
-            ASSERT_TRUE(file.replace(records(100), kept::encodeListState(5, 0, {}, 0), kNow, left));
+            std::ofstream(path + ".new") << std::string(100, 'x');  // like one that a crash left
+            ASSERT_TRUE(file.replace(records(100), kept::encodeListState(5, 0, {}, 0), kNow, omitted));
         }
         ASSERT_LE(2 * file.bytes(), kBudget);
     }
-    ASSERT_LE(used(), kBudget);
-    // What has no room is left out, the first ones are in.
-    ASSERT_TRUE(file.replace(records(2000), kept::encodeListState(5, 0, {}, 0), kNow, left));
-    EXPECT_GT(left, 1000u);
+    ASSERT_LE(usedBytes(), kBudget);
+    // Records without room are omitted, the first ones are written.
+    ASSERT_TRUE(file.replace(records(2000), kept::encodeListState(5, 0, {}, 0), kNow, omitted));
+    EXPECT_GT(omitted, 1000u);
     const auto loaded = file.load(kNow);
     EXPECT_EQ(loaded.state, kept::FileState::good);
-    EXPECT_EQ(loaded.list.entries.size() + left, 2000u);
+    EXPECT_EQ(loaded.list.entries.size() + omitted, 2000u);
     EXPECT_TRUE(loaded.list.entries.count("s-0"));
     EXPECT_EQ(loaded.list.index, 5u);
 }
 
-TEST_F(OnDisk, OversizedFilesCostOnlyWhatIsTooMuch) {
+TEST_F(SavedEndpointListFile, OversizedFileIsReadUpToItsBudget) {
     std::ofstream(path) << sample(2000);
     kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
     const auto loaded = file.load(kNow);
@@ -214,10 +214,11 @@
     EXPECT_LT(loaded.list.entries.size(), 500u);
 }
 
-// A full disk: the limit on file size stands for it. Nothing is lost that was there, and the next try works.
-TEST_F(OnDisk, ADiskThatIsFullLeavesTheOldFile) {
+// A full disk, simulated by a limit on the file size: the old file stays intact, and a later rewrite
+// succeeds.
+TEST_F(SavedEndpointListFile, FullDiskLeavesTheOldFile) {
     kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
-    ASSERT_TRUE(file.replace(records(50), kept::encodeListState(5, 0, {}, 0), kNow, left));
+    ASSERT_TRUE(file.replace(records(50), kept::encodeListState(5, 0, {}, 0), kNow, omitted));
     const auto child = fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
@@ -225,7 +226,7 @@
         const rlimit small{file.bytes() + 20, file.bytes() + 20};
         setrlimit(RLIMIT_FSIZE, &small);
         const bool appended = file.append(kept::encode(entry(60)));
-        const bool replaced = file.replace(records(90), kept::encodeListState(6, 0, {}, 0), kNow, left);
+        const bool replaced = file.replace(records(90), kept::encodeListState(6, 0, {}, 0), kNow, omitted);
         _exit(appended || replaced ? 1 : 0);
     }
     int status = 0;
@@ -235,30 +236,31 @@
     EXPECT_EQ(loaded.state, kept::FileState::good);
     EXPECT_EQ(loaded.list.entries.size(), 50u);
     EXPECT_FALSE(std::filesystem::exists(path + ".new"));
-    EXPECT_TRUE(file.replace(records(90), kept::encodeListState(6, 0, {}, 0), kNow, left));
+    EXPECT_TRUE(file.replace(records(90), kept::encodeListState(6, 0, {}, 0), kNow, omitted));
 }
 
-// SIGKILL at any moment of many writes: what a later life reads is good, but for a last record half written.
-TEST_F(OnDisk, KilledWhileItWrites) {
+// SIGKILL at a random time during many writes: the file is good afterwards, except for a torn last record.
+TEST_F(SavedEndpointListFile, KilledWhileWriting) {
     check::Chance chance(5);
     for (int round = 0; round < 25; ++round) {
         const auto child = fork();
         ASSERT_GE(child, 0);
         if (child == 0) {
             kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
-            std::size_t out = 0;
-            file.replace(records(40), kept::encodeListState(5, 0, {}, 0), kNow, out);
+            std::size_t notWritten = 0;
+            file.replace(records(40), kept::encodeListState(5, 0, {}, 0), kNow, notWritten);
             for (int i = 0;; ++i)
                 if (file.needsRewrite() || !file.append(kept::encode(entry(i % 40))))
-                    file.replace(records(40), kept::encodeListState(5, 0, {}, 0), kNow, out);
+                    file.replace(records(40), kept::encodeListState(5, 0, {}, 0), kNow, notWritten);
         }
-        // The child writes thousands of times in this; where the kill falls is chance, the verdict is not.
+        // The child writes thousands of times until then; the time of the kill is random, the expected result
+        // is not.
         usleep(static_cast<useconds_t>(5000 + check::below(chance, 15000)));
         kill(child, SIGKILL);
         waitpid(child, nullptr, 0);
         kept::SavedEndpointListFile file(folder.path, kBudget, "n0");
         const auto loaded = file.load(kNow);
-        if (loaded.state == kept::FileState::absent) continue;  // killed before the first file had its name
+        if (loaded.state == kept::FileState::absent) continue;  // killed before the first file was renamed
         EXPECT_TRUE(loaded.state == kept::FileState::good || loaded.state == kept::FileState::torn)
             << kept::name(loaded.state) << " " << loaded.problem;
         EXPECT_EQ(loaded.list.entries.size(), 40u);
