--- a/src/trust/probes.cpp
+++ b/src/trust/probes.cpp
@@ -8,31 +8,32 @@
 namespace laurelhaven::trust {
 namespace {
 
-constexpr double kDefaultRateLimit = 0.5;  // calls a second, of a destination that told none
-constexpr double kDemandJitterShare = 0.2;
-constexpr double kUnusableDestinationShare = 0.9;
+constexpr double kDefaultRateLimit = 0.5;          // requests per second, where the limit is unknown
+constexpr double kDemandJitterShare = 0.2;         // of the jitter, where a message waits
+constexpr double kUnusableDestinationShare = 0.9;  // of the cold budget, where no message may be sent
 
+/// The time between two requests at this rate.
 milliseconds intervalFor(double perSecond) {
     return milliseconds(static_cast<std::int64_t>(std::ceil(1000 / std::max(perSecond, 1e-3))));
 }
 
 }  // namespace
 
-TimePoint ProbeScheduler::earliestProbe(const ProbeCandidate& c) {
-    auto& one = history_[c.endpoint];
-    if (!one.jitterDrawn) {
-        one.jitterDrawn = true;
-        one.jitterShare = std::uniform_real_distribution<double>(0, 1)(random_);
+TimePoint ProbeScheduler::earliestProbe(const ProbeCandidate& candidate) {
+    auto& history = history_[candidate.endpoint];
+    if (!history.jitterDrawn) {
+        history.jitterDrawn = true;
+        history.jitterShare = std::uniform_real_distribution<double>(0, 1)(random_);
     }
-    // Danger: senders that restart together would all knock in the same instant, at the same endpoint.
-    const double part = one.jitterShare * (c.waitingMessages > 0 ? kDemandJitterShare : 1);
+    // Without jitter, senders that restart together would all probe the same endpoint at the same instant.
+    const double jitterShare = history.jitterShare * (candidate.waitingMessages > 0 ? kDemandJitterShare : 1);
     const auto spread =
-        milliseconds(static_cast<std::int64_t>(part * static_cast<double>(policy_.jitter.count())));
-    auto at = std::max({startedAt_ + spread, one.notBefore, nextSenderProbeAt_, c.waitUntil});
-    if (const auto it = lastProbeAt_.find(c.destination); it != lastProbeAt_.end()) {
-        // Where no call may go, probes have the calls' part of the cold budget too.
-        const double share = c.destinationUsable ? policy_.coldShare : kUnusableDestinationShare;
-        const double rate = c.rateLimit > 0 ? c.rateLimit : kDefaultRateLimit;
+        milliseconds(static_cast<std::int64_t>(jitterShare * static_cast<double>(policy_.jitter.count())));
+    auto at = std::max({startedAt_ + spread, history.notBefore, nextSenderProbeAt_, candidate.waitUntil});
+    if (const auto it = lastProbeAt_.find(candidate.destination); it != lastProbeAt_.end()) {
+        // Where no endpoint of the destination may be used, probes also get the attempts' part of the budget.
+        const double share = candidate.destinationUsable ? policy_.coldShare : kUnusableDestinationShare;
+        const double rate = candidate.rateLimit > 0 ? candidate.rateLimit : kDefaultRateLimit;
         at = std::max(
             at, it->second + intervalFor(share * policy_.coldBudget * rate / std::max(1, policy_.senders)));
     }
@@ -40,48 +41,48 @@
 }
 
 ProbeScheduler::Next ProbeScheduler::next(const std::vector<ProbeCandidate>& candidates, TimePoint now) {
-    Next found;
+    Next result;
     const ProbeCandidate* best = nullptr;
-    for (const auto& c : candidates) {
-        const auto at = earliestProbe(c);
+    for (const auto& candidate : candidates) {
+        const auto at = earliestProbe(candidate);
         if (at > now) {
-            if (!found.checkAgainAt || at < *found.checkAgainAt) found.checkAgainAt = at;
+            if (!result.checkAgainAt || at < *result.checkAgainAt) result.checkAgainAt = at;
             continue;
         }
-        const auto rank = [this](const ProbeCandidate& x) {
-            return std::make_tuple(x.waitingMessages > 0, -history_[x.endpoint].failures, x.waitingMessages,
-                                   x.traffic);
+        const auto rank = [this](const ProbeCandidate& other) {
+            return std::make_tuple(other.waitingMessages > 0, -history_[other.endpoint].failures,
+                                   other.waitingMessages, other.traffic);
         };
-        if (!best || rank(c) > rank(*best)) best = &c;
+        if (!best || rank(candidate) > rank(*best)) best = &candidate;
     }
-    if (!best) return found;
-    found.endpoint = best->endpoint;
-    found.checkAgainAt.reset();
+    if (!best) return result;
+    result.endpoint = best->endpoint;
+    result.checkAgainAt.reset();
     ++sent_;
     nextSenderProbeAt_ = now + intervalFor(policy_.perSecond);
     lastProbeAt_[best->destination] = now;
-    return found;
+    return result;
 }
 
 void ProbeScheduler::recordAnswer(const std::string& endpoint, bool good, TimePoint now) {
-    auto& one = history_[endpoint];
+    auto& history = history_[endpoint];
     if (good) {
-        one.failures = 0;
+        history.failures = 0;
         return;
     }
-    const double factor = std::pow(2.0, std::min(one.failures++, 16));
+    const double factor = std::pow(2.0, std::min(history.failures++, 16));
     const double chance = std::uniform_real_distribution<double>(0.75, 1.25)(random_);
     const double wait = std::min(static_cast<double>(policy_.backOffMost.count()),
                                  factor * static_cast<double>(policy_.backOff.count()));
-    one.notBefore = now + milliseconds(static_cast<std::int64_t>(chance * wait));
+    history.notBefore = now + milliseconds(static_cast<std::int64_t>(chance * wait));
 }
 
 void ProbeScheduler::retain(const std::vector<ProbeCandidate>& candidates) {
     std::set<std::string> endpoints;
     std::set<std::uint64_t> destinations;
-    for (const auto& c : candidates) {
-        endpoints.insert(c.endpoint);
-        destinations.insert(c.destination);
+    for (const auto& candidate : candidates) {
+        endpoints.insert(candidate.endpoint);
+        destinations.insert(candidate.destination);
     }
     std::erase_if(history_, [&](const auto& t) { return !endpoints.count(t.first); });
     std::erase_if(lastProbeAt_, [&](const auto& d) { return !destinations.count(d.first); });
--- a/src/trust/probes.hpp
+++ b/src/trust/probes.hpp
@@ -1,5 +1,7 @@
-// Which endpoint is probed next, and when: a budget for the sender and for each destination, demand first,
-// jitter at the start, back off after silence. Pure: times come in, chance comes from a seed.
+// Decides which endpoint is probed next, and when. Endpoints of destinations with waiting messages go first;
+// a rate limit of the sender and one of each destination bound the probes; the first probes are spread by
+// jitter, and those after a failure by exponential backoff. No I/O: times are passed in and random numbers
+// come from a seed. Not thread-safe.
 #pragma once
 
 #include <chrono>
@@ -16,53 +18,58 @@
 using std::chrono::milliseconds;
 
 struct ProbePolicy {
-    double perSecond = 20;        ///< probes of this sender, all destinations together
-    double coldShare = 0.15;      ///< of the calls a second that a cold partner may be sent by this sender
-    double coldBudget = 0.38;     ///< that budget, as a share of the told rate: fall-multiple x cold-from
-    int senders = 1;              ///< who share it
-    milliseconds jitter{400};     ///< the first probes of a life spread over this
-    milliseconds backOff{1'000};  ///< after a probe in vain, doubled each time
-    milliseconds backOffMost{60'000};
+    double perSecond = 20;        ///< probes of this sender, to all destinations together
+    double coldShare = 0.15;      ///< share of the cold budget of a destination that probes may use
+    double coldBudget = 0.38;     ///< requests that a destination in warm-up may get from all senders, as
+                                  ///< a share of its announced rate limit: fall-multiple x cold-from
+    int senders = 1;              ///< senders that share the cold budget
+    milliseconds jitter{400};     ///< the first probes after a start are spread over this time
+    milliseconds backOff{1'000};  ///< pause after a failed probe, doubled with each further failure
+    milliseconds backOffMost{60'000};  ///< upper bound of that pause
 };
 
-/// An endpoint that only a probe could confirm.
+/// An endpoint that must answer a probe before it gets messages.
 struct ProbeCandidate {
     std::string endpoint;
     std::uint64_t destination = 0;
-    double rateLimit = 0;             ///< told calls a second of the destination; 0: not known
+    double rateLimit = 0;             ///< announced requests per second of the destination; 0: unknown
     std::size_t waitingMessages = 0;  ///< messages that wait for the destination now
-    double traffic = 0;               ///< calls that it got in the past, as far as remembered
-    TimePoint waitUntil{};            ///< a told wait: no probe before
+    double traffic = 0;               ///< earlier deliveries to the endpoint, with older ones decayed
+    TimePoint waitUntil{};            ///< end of an announced wait, which holds for probes too
     bool destinationUsable = true;    ///< another endpoint of the destination gets messages
 };
 
+/// Schedules the probes of one sender.
 class ProbeScheduler {
   public:
     ProbeScheduler(const ProbePolicy& policy, std::uint64_t seed) : policy_(policy), random_(seed) {}
-    /// The moment that the jitter of the first probes counts from. A destination for which a message waits is
-    /// jittered by a fifth of it only.
+    /// Sets the time from which the jitter of the first probes counts. Where a message waits for the
+    /// destination, only a fifth of the jitter applies.
     void begin(TimePoint now) { startedAt_ = now; }
 
-    /// What is to be probed now, if anything; else when to ask again (nothing: not before something changes).
+    /// Either the endpoint to probe now, or when to call next() again. Empty: when the candidates change.
     struct Next {
         std::optional<std::string> endpoint;
         std::optional<TimePoint> checkAgainAt;
     };
+    /// Chooses the endpoint to probe now, and counts that probe as sent.
     Next next(const std::vector<ProbeCandidate>& candidates, TimePoint now);
+    /// The result of a probe. A failure starts or doubles the backoff of the endpoint; a success ends it.
     void recordAnswer(const std::string& endpoint, bool good, TimePoint now);
-    /// Forgets what is no candidate any more, so that the tables stay as small as the list.
+    /// Drops the history of everything that is not among the candidates, which bounds the memory used.
     void retain(const std::vector<ProbeCandidate>& candidates);
 
     std::uint64_t sent() const { return sent_; }
 
   private:
     struct ProbeHistory {
-        int failures = 0;
+        int failures = 0;  // in a row
         TimePoint notBefore{};
         bool jitterDrawn = false;
-        double jitterShare = 0;  // its part of the jitter
+        double jitterShare = 0;  // random share of the jitter, in [0, 1)
     };
-    TimePoint earliestProbe(const ProbeCandidate& c);
+    /// When the endpoint may be probed at the earliest.
+    TimePoint earliestProbe(const ProbeCandidate& candidate);
 
     ProbePolicy policy_;
     std::mt19937_64 random_;
--- a/src/trust/trust.cpp
+++ b/src/trust/trust.cpp
@@ -8,10 +8,10 @@
 namespace laurelhaven::trust {
 namespace {
 
-// What was learnt fades, so that a fleet that changes its habits is followed within some half-lives.
+// Older observations lose weight, so that the estimate follows a fleet whose rate of change is no longer the
+// same within a few half-lives.
 constexpr double kMaxRememberedChanges = 50;
-// The prior stands for a tenth of a change: a fleet that is in fact busy must be known as that within
-// minutes.
+// The prior weighs a tenth of a change, so that a fleet that changes often is recognised within minutes.
 constexpr double kPriorChanges = 0.1;
 
 double toSeconds(milliseconds time) { return std::chrono::duration<double>(time).count(); }
@@ -41,7 +41,7 @@
 }
 
 void Churn::restore(double entrySeconds, double changes) {
-    // What comes from a file may be anything.
+    // The values come from a file, which may be damaged.
     if (!std::isfinite(entrySeconds) || !std::isfinite(changes) || entrySeconds < 0 || changes < 0) return;
     entrySeconds_ = entrySeconds;
     changes_ = std::min(changes, kMaxRememberedChanges);
@@ -50,66 +50,68 @@
 milliseconds Churn::halfLife(const Policy& policy) const {
     const double prior = kPriorChanges * toSeconds(policy.halfLife) / std::log(2.0);
     const double rate = (kPriorChanges + changes_) / (prior + entrySeconds_);
-    const double learnt = std::log(2.0) / rate;
+    const double learned = std::log(2.0) / rate;
     return milliseconds(static_cast<std::int64_t>(
-        1000 * std::clamp(learnt, toSeconds(policy.halfLifeLeast), toSeconds(policy.halfLifeMost))));
+        1000 * std::clamp(learned, toSeconds(policy.halfLifeLeast), toSeconds(policy.halfLifeMost))));
 }
 
 TrustAssessment assess(const Evidence& evidence, const Policy& policy, milliseconds halfLife, RecordMs now) {
-    TrustAssessment made;
-    const bool ahead = evidence.confirmedAt > now;
-    const bool undated = ahead || evidence.confirmedBy == ConfirmationSource::configuration;
-    // Danger: with a clock set back, an old list would look fresh for hours, and one that the configuration
-    // gives tells no age at all. Neither is believed in full.
-    made.age = ahead ? policy.configuredAge : milliseconds(now - evidence.confirmedAt);
-    if (undated) made.age = std::max(made.age, policy.configuredAge);
-    const double half = std::max(toSeconds(halfLife), 0.001);
-    made.confidence = std::exp2(-toSeconds(made.age) / half);
+    TrustAssessment assessment;
+    const bool inFuture = evidence.confirmedAt > now;
+    const bool undated = inFuture || evidence.confirmedBy == ConfirmationSource::configuration;
+    // With a clock that was set back, an old list would look fresh for hours, and a list in the configuration
+    // has no age at all. Neither is trusted in full.
+    assessment.age = inFuture ? policy.configuredAge : milliseconds(now - evidence.confirmedAt);
+    if (undated) assessment.age = std::max(assessment.age, policy.configuredAge);
+    const double halfLifeSeconds = std::max(toSeconds(halfLife), 0.001);
+    assessment.confidence = std::exp2(-toSeconds(assessment.age) / halfLifeSeconds);
     if (evidence.refutation != RefutationReason::none) {
-        made.level = TrustLevel::refuted;
-        made.confidence = 0;
-        return made;
+        assessment.level = TrustLevel::refuted;
+        assessment.confidence = 0;
+        return assessment;
     }
     if (evidence.listedNow) {
-        made.level = TrustLevel::confirmed;
-        made.confidence = 1;
-        made.age = milliseconds(0);
-        return made;
+        assessment.level = TrustLevel::confirmed;
+        assessment.confidence = 1;
+        assessment.age = milliseconds(0);
+        return assessment;
     }
-    const auto at = [&](double figure) {  // when the figure has come down to that
-        return milliseconds(static_cast<std::int64_t>(-std::log2(figure) * half * 1000));
+    const auto ageAt = [&](double confidence) {  // the age at which the confidence has fallen to this
+        return milliseconds(static_cast<std::int64_t>(-std::log2(confidence) * halfLifeSeconds * 1000));
     };
-    const auto confirmedTill = std::min(policy.confirmedFor, at(policy.confirmedAbove));
-    const auto staleFrom = at(policy.staleBelow);
-    const auto when = [&](milliseconds age) { return now + (age - made.age).count() + 1; };
-    if (made.age > policy.maxAge) {
-        made.level = TrustLevel::refuted;
-    } else if (made.age <= confirmedTill && !undated) {
-        made.level = TrustLevel::confirmed;
-        made.validUntil = when(confirmedTill);
-    } else if (made.age <= staleFrom || evidence.answeredThisRun) {
-        // What has answered in this life goes on as long as nothing speaks against it: its own outcomes tell
-        // sooner than any age.
-        made.level = TrustLevel::ageing;
-        if (!evidence.answeredThisRun) made.validUntil = when(std::min(staleFrom, policy.maxAge));
-    } else if (!policy.mayProbe && made.age <= policy.blindLimit) {
-        made.level = TrustLevel::ageing;
-        made.oneAtATime = true;
-        made.validUntil = when(std::min(policy.blindLimit, policy.maxAge));
+    const auto confirmedUntilAge = std::min(policy.confirmedFor, ageAt(policy.confirmedAbove));
+    const auto staleFromAge = ageAt(policy.staleBelow);
+    const auto timeOfAge = [&](milliseconds age) { return now + (age - assessment.age).count() + 1; };
+    if (assessment.age > policy.maxAge) {
+        assessment.level = TrustLevel::refuted;
+    } else if (assessment.age <= confirmedUntilAge && !undated) {
+        assessment.level = TrustLevel::confirmed;
+        assessment.validUntil = timeOfAge(confirmedUntilAge);
+    } else if (assessment.age <= staleFromAge || evidence.answeredThisRun) {
+        // An endpoint that has answered in this run stays in use until something refutes it: the outcomes of
+        // its attempts show a change sooner than its age.
+        assessment.level = TrustLevel::ageing;
+        if (!evidence.answeredThisRun)
+            assessment.validUntil = timeOfAge(std::min(staleFromAge, policy.maxAge));
+    } else if (!policy.mayProbe && assessment.age <= policy.blindLimit) {
+        assessment.level = TrustLevel::ageing;
+        assessment.oneAtATime = true;
+        assessment.validUntil = timeOfAge(std::min(policy.blindLimit, policy.maxAge));
     } else {
-        made.level = TrustLevel::stale;
-        made.validUntil = when(policy.maxAge);
+        assessment.level = TrustLevel::stale;
+        assessment.validUntil = timeOfAge(policy.maxAge);
     }
-    // Danger: an endpoint drains in the seconds for which the sender is dead and discovery silent, and the
-    // list is as young as can be. Where a probe may tell, it is asked first.
-    // Danger: a release kills half of a fleet in one moment, a probe weighs like a call, and where each asks
-    // for each endpoint the limits are used up by that alone. Where the probes would not fit, the first
-    // message asks in their place: it is turned away as they would be.
-    const bool fit =
+    // An endpoint may drain in the seconds in which the sender is down and discovery does not answer, however
+    // young the saved list is. Where probes are permitted, a probe therefore goes first.
+    // A release restarts half of a fleet at once. A probe counts against the rate limit like an attempt, so
+    // probes of every sender to every endpoint would use up the limits. Where they would not fit, the first
+    // message goes without a probe: it is rejected where the probe would be.
+    const bool probesFit =
         evidence.rateLimit <= 0 || policy.senders / 2 <= evidence.rateLimit * toSeconds(policy.probeSpread);
-    made.probeFirst = made.level == TrustLevel::stale ||
-                      (policy.mayProbe && fit && !evidence.listedThisRun && !evidence.answeredThisRun);
-    return made;
+    assessment.probeFirst =
+        assessment.level == TrustLevel::stale ||
+        (policy.mayProbe && probesFit && !evidence.listedThisRun && !evidence.answeredThisRun);
+    return assessment;
 }
 
 std::string formatDuration(milliseconds time) {
@@ -131,24 +133,24 @@
     return std::to_string(ms) + " ms";
 }
 
-std::string explain(const Evidence& evidence, const TrustAssessment& judgement, const Policy& policy,
+std::string explain(const Evidence& evidence, const TrustAssessment& assessment, const Policy& policy,
                     milliseconds halfLife) {
-    char figure[16];
-    std::snprintf(figure, sizeof figure, "%.3f", judgement.confidence);
+    char confidence[16];
+    std::snprintf(confidence, sizeof confidence, "%.3f", assessment.confidence);
     const std::string last = std::string("last confirmed by ") + name(evidence.confirmedBy) + " " +
-                             formatDuration(judgement.age) + " ago (figure " + figure +
+                             formatDuration(assessment.age) + " ago (figure " + confidence +
                              " at a half-life of " + formatDuration(halfLife) + ")";
     const std::string first = ", once a probe has answered in the life of this process";
-    switch (judgement.level) {
+    switch (assessment.level) {
         case TrustLevel::confirmed:
             if (evidence.listedNow)
                 return "confirmed: discovery names it now; it gets messages at the usual pace";
             return "confirmed: " + last + "; it gets messages at the usual pace" +
-                   (judgement.probeFirst ? first : "");
+                   (assessment.probeFirst ? first : "");
         case TrustLevel::ageing:
             return "ageing: " + last + "; it gets messages at a pace that its deliveries open" +
-                   (judgement.oneAtATime ? ", one at a time until the first" : "") +
-                   (judgement.probeFirst ? first : "") + "; discovery would confirm it";
+                   (assessment.oneAtATime ? ", one at a time until the first" : "") +
+                   (assessment.probeFirst ? first : "") + "; discovery would confirm it";
         case TrustLevel::stale:
             return "stale: " + last + "; it gets no message before " +
                    (policy.mayProbe ? "a probe answers or " : "") + "discovery names it" +
--- a/src/trust/trust.hpp
+++ b/src/trust/trust.hpp
@@ -1,5 +1,6 @@
-// How far an entry of the list may be believed: from its age since somebody last confirmed it, from who that
-// was, and from how often this fleet changes. Pure: times come in as values, and nothing here does I/O.
+// Decides how far an entry of the endpoint list can be trusted: by the time since it was last confirmed, by
+// what confirmed it, and by how often endpoints of this fleet change. Pure functions and values: times are
+// passed in and nothing does I/O, so everything here may be used from any thread.
 #pragma once
 
 #include <chrono>
@@ -8,89 +9,101 @@
 
 namespace laurelhaven::trust {
 
-using RecordMs = std::int64_t;  ///< milliseconds on the time line of src/clock: ages span restarts
+/// Milliseconds of clock::RecordClock, which continues across restarts, so that ages span them.
+using RecordMs = std::int64_t;
 using std::chrono::milliseconds;
 
-/// Who confirmed an entry last.
+/// What confirmed an entry last. The numbers are stored in the saved endpoint list.
 enum class ConfirmationSource : std::uint8_t { configuration, discovery, delivery, probe };
+/// The name as printed by `laurelhaven list`; a delivery is printed as "call".
 const char* name(ConfirmationSource source);
 
-/// What is done with an endpoint: as today; offered at a capped pace; nothing before a probe or discovery
-/// confirms it; nothing until discovery names it.
-enum class TrustLevel : std::uint8_t { confirmed, ageing, stale, refuted };
+/// How an endpoint is used.
+enum class TrustLevel : std::uint8_t {
+    confirmed,  ///< at the usual pace
+    ageing,     ///< at a capped pace, which successful deliveries raise
+    stale,      ///< not used before a probe or discovery confirms it
+    refuted     ///< not used until discovery lists it again
+};
 const char* name(TrustLevel level);
 
-/// Why an entry is not believed whatever its age.
+/// Why an entry is refuted whatever its age. The numbers are stored in the saved endpoint list.
 enum class RefutationReason : std::uint8_t {
-    none,
-    drained,
-    deleted,
-    missing,
-    addressReassigned,
-    rateLimitMismatch,
-    unexpectedServer
+    none,               ///< printed as "nothing"
+    drained,            ///< discovery reported it as draining; printed as "draining"
+    deleted,            ///< discovery reported it as deleted
+    missing,            ///< a full list of discovery, or a newer configured list, left it out
+    addressReassigned,  ///< a younger entry has its address; printed as "address-taken"
+    rateLimitMismatch,  ///< a probe announced the rate limit of another destination; "other-partner"
+    unexpectedServer    ///< it answered as a server that does not know such messages; "not-ours"
 };
 const char* name(RefutationReason refutation);
 
+/// The thresholds, in the settings section "trust" except for the last three.
 struct Policy {
-    milliseconds confirmedFor{30'000};          ///< a confirmation holds in full for so long
-    double confirmedAbove = 0.9;                ///< and only while the figure is above this
-    double staleBelow = 0.5;                    ///< figure under which nothing goes without a probe
-    milliseconds halfLife{6 * 3'600'000};       ///< expected before anything of the fleet is known
-    milliseconds halfLifeLeast{120'000};        ///< bounds of what is learnt
-    milliseconds halfLifeMost{7 * 86'400'000};  ///< -"-
+    milliseconds confirmedFor{30'000};          ///< a confirmation has full weight for this long
+    double confirmedAbove = 0.9;                ///< and only while the confidence is above this
+    double staleBelow = 0.5;                    ///< below this confidence an entry is stale
+    milliseconds halfLife{6 * 3'600'000};       ///< assumed while nothing is known about the fleet
+    milliseconds halfLifeLeast{120'000};        ///< lower bound of the learnt half-life
+    milliseconds halfLifeMost{7 * 86'400'000};  ///< upper bound of the learnt half-life
     milliseconds maxAge{7 * 86'400'000};        ///< older entries are refuted
-    milliseconds blindLimit{3'600'000};         ///< without probes, older entries get nothing
-    milliseconds configuredAge{600'000};        ///< taken as the age of a list in the configuration
+    milliseconds blindLimit{3'600'000};         ///< where probes are not permitted, older entries are stale
+    milliseconds configuredAge{600'000};        ///< least age of entries whose real age is unknown
     bool mayProbe = false;                      ///< the platform permits probes
-    int senders = 1;                            ///< that hold such a list
-    milliseconds probeSpread{400};              ///< within which those that restart together probe
+    int senders = 1;                            ///< senders that share the endpoints
+    milliseconds probeSpread{400};              ///< senders that restart together probe within this time
 };
 
+/// What is known about one entry.
 struct Evidence {
     RecordMs confirmedAt = 0;
     ConfirmationSource confirmedBy = ConfirmationSource::configuration;
     RefutationReason refutation = RefutationReason::none;
-    bool listedNow = false;        ///< discovery is heard now, and names it
-    bool answeredThisRun = false;  ///< it has delivered or answered a probe in this life
-    bool listedThisRun = false;    ///< discovery has named it in this life
-    double rateLimit = 0;          ///< told calls a second of its destination; 0: not known
+    bool listedNow = false;        ///< the watch on discovery is open, and discovery lists the endpoint
+    bool answeredThisRun = false;  ///< delivered, or answered a probe, since this process started
+    bool listedThisRun = false;    ///< listed by discovery since this process started
+    double rateLimit = 0;          ///< announced requests per second of its destination; 0: unknown
 };
 
 struct TrustAssessment {
     TrustLevel level = TrustLevel::stale;
-    double confidence = 0;    ///< chance that the entry still holds, in [0, 1]
-    milliseconds age{};       ///< since the confirmation; 0 where that lies in the future
-    bool probeFirst = false;  ///< nothing before a probe, whatever the level: what befell it went unseen
-    bool oneAtATime = false;  ///< ageing in the place of a probe: the destination is in doubt
-    RecordMs validUntil = 0;  ///< when time alone changes the level; 0: never
+    double confidence = 0;    ///< probability that the entry is still right, in [0, 1]
+    milliseconds age{};       ///< since the confirmation; 0 while listed; at least `configuredAge` if undated
+    bool probeFirst = false;  ///< a probe must answer before the first message, whatever the level
+    bool oneAtATime = false;  ///< the first message stands in for a probe, so attempts go out one by one
+    RecordMs validUntil = 0;  ///< when the passing of time alone changes the level; 0: never
 };
 
-/// The half-life of an entry in a fleet, learnt from how many entries changed in how long. The posterior mean
-/// of a Poisson rate under a Gamma prior (Gelman et al., Bayesian Data Analysis, 3rd ed., 2.6) whose weight
-/// is one change in a prior half-life; so a quiet fleet drifts up slowly and a busy one comes down at once.
+/// Learns the half-life of the entries of a fleet from the number of entries that changed in a given time.
+/// It is the posterior mean of a Poisson rate under a Gamma prior (Gelman et al., Bayesian Data Analysis, 3rd
+/// ed., 2.6) that weighs a tenth of a change. So the estimate for a fleet without changes rises slowly, and
+/// that for a fleet with many changes falls at once.
 class Churn {
   public:
-    /// `entries` entries were watched for a span in which `changes` of them drained, went or moved.
+    /// `entries` entries were watched for a span in which `changes` of them drained, were removed or moved to
+    /// another address.
     void observe(double entries, milliseconds span, double changes);
     milliseconds halfLife(const Policy& policy) const;
+    /// Sum of the times for which entries were watched, in seconds.
     double entrySeconds() const { return entrySeconds_; }
     double changes() const { return changes_; }
+    /// Continues from stored values. Ignores values that are negative or not finite.
     void restore(double entrySeconds, double changes);
 
   private:
     double entrySeconds_ = 0, changes_ = 0;
 };
 
-/// A clock that was set back makes a confirmation lie in the future: its age is unknown then, and the entry
-/// is judged as if it were as old as a list in the configuration.
+/// Assesses an entry at the time `now`. Where the clock was set back and a confirmation lies in the future,
+/// the age is unknown, and the entry is treated as if it were as old as one of the configuration.
 TrustAssessment assess(const Evidence& evidence, const Policy& policy, milliseconds halfLife, RecordMs now);
 
-/// One sentence for people: why, and what would change it.
-std::string explain(const Evidence& evidence, const TrustAssessment& judgement, const Policy& policy,
+/// One sentence for operators that gives the reason for an assessment and what would change it.
+std::string explain(const Evidence& evidence, const TrustAssessment& assessment, const Policy& policy,
                     milliseconds halfLife);
 
-/// "3 d 4 h", "5 min 2 s", "250 ms".
+/// A duration in its two largest units, such as "3 d 4 h", "5 min 2 s" or "250 ms".
 std::string formatDuration(milliseconds time);
 
 }  // namespace laurelhaven::trust
--- a/tests/trust/trust_test.cpp
+++ b/tests/trust/trust_test.cpp
@@ -1,4 +1,4 @@
-// How far an entry is believed, and which endpoint is probed when.
+// Trust in the entries of the endpoint list, and the schedule of probes.
 #include "trust/trust.hpp"
 
 #include <gtest/gtest.h>
@@ -14,164 +14,174 @@
 using namespace std::chrono_literals;
 
 constexpr RecordMs kNow = 1'800'000'000'000;
-constexpr milliseconds kHalf = 6h;
+constexpr milliseconds kHalfLife = 6h;
 
-Evidence seen(milliseconds ago, ConfirmationSource by = ConfirmationSource::discovery) {
-    Evidence e;
-    e.confirmedAt = kNow - ago.count();
-    e.confirmedBy = by;
-    return e;
+Evidence confirmedAgo(milliseconds ago, ConfirmationSource source = ConfirmationSource::discovery) {
+    Evidence evidence;
+    evidence.confirmedAt = kNow - ago.count();
+    evidence.confirmedBy = source;
+    return evidence;
 }
-Policy probing() {
-    Policy p;
-    p.mayProbe = true;
-    return p;
+Policy probesPermitted() {
+    Policy policy;
+    policy.mayProbe = true;
+    return policy;
 }
-TrustLevel level(const Evidence& e, const Policy& p = probing(), milliseconds half = kHalf) {
-    return assess(e, p, half, kNow).level;
+TrustLevel level(const Evidence& evidence, const Policy& policy = probesPermitted(),
+                 milliseconds halfLife = kHalfLife) {
+    return assess(evidence, policy, halfLife, kNow).level;
 }
 
-TEST(Trust, FallsWithAge) {
-    EXPECT_EQ(level(seen(5s)), TrustLevel::confirmed);
-    EXPECT_EQ(level(seen(1h)), TrustLevel::ageing);
-    EXPECT_EQ(level(seen(24h)), TrustLevel::stale);
-    EXPECT_EQ(level(seen(8 * 24h)), TrustLevel::refuted);
-    EXPECT_NEAR(assess(seen(6h), probing(), kHalf, kNow).confidence, 0.5, 1e-9);
+TEST(Trust, LevelFallsWithAge) {
+    EXPECT_EQ(level(confirmedAgo(5s)), TrustLevel::confirmed);
+    EXPECT_EQ(level(confirmedAgo(1h)), TrustLevel::ageing);
+    EXPECT_EQ(level(confirmedAgo(24h)), TrustLevel::stale);
+    EXPECT_EQ(level(confirmedAgo(8 * 24h)), TrustLevel::refuted);
+    EXPECT_NEAR(assess(confirmedAgo(6h), probesPermitted(), kHalfLife, kNow).confidence, 0.5, 1e-9);
 }
 
-TEST(Trust, AFleetThatChangesFastIsBelievedForShort) {
-    // 5 minutes at a half-life of 2 are 18%: stale, where a quiet fleet's entry would be ageing.
-    EXPECT_EQ(level(seen(5min), probing(), 2min), TrustLevel::stale);
-    EXPECT_EQ(level(seen(5min)), TrustLevel::ageing);
-    EXPECT_EQ(level(seen(29s), probing(), 2min), TrustLevel::ageing);  // under 90% though it is only 29 s old
+TEST(Trust, EntriesOfAFleetThatChangesOftenAgeSooner) {
+    // After 5 minutes at a half-life of 2 minutes the confidence is 18%: stale. At the usual half-life of 6
+    // hours an entry of that age is ageing.
+    EXPECT_EQ(level(confirmedAgo(5min), probesPermitted(), 2min), TrustLevel::stale);
+    EXPECT_EQ(level(confirmedAgo(5min)), TrustLevel::ageing);
+    EXPECT_EQ(level(confirmedAgo(29s), probesPermitted(), 2min),
+              TrustLevel::ageing);  // only 29 s old, but below 90%
 }
 
-TEST(Trust, EachLevelLastsUntilTheMomentItSays) {
+TEST(Trust, LevelHoldsUntilItsValidUntilTime) {
     for (const auto age : {5s, 3600s, 86400s}) {
-        const auto judged = assess(seen(age), probing(), kHalf, kNow);
-        ASSERT_GT(judged.validUntil, kNow);
-        EXPECT_EQ(assess(seen(age), probing(), kHalf, judged.validUntil - 2).level, judged.level);
-        EXPECT_NE(assess(seen(age), probing(), kHalf, judged.validUntil + 1).level, judged.level);
+        const auto assessment = assess(confirmedAgo(age), probesPermitted(), kHalfLife, kNow);
+        ASSERT_GT(assessment.validUntil, kNow);
+        EXPECT_EQ(assess(confirmedAgo(age), probesPermitted(), kHalfLife, assessment.validUntil - 2).level,
+                  assessment.level);
+        EXPECT_NE(assess(confirmedAgo(age), probesPermitted(), kHalfLife, assessment.validUntil + 1).level,
+                  assessment.level);
     }
 }
 
-TEST(Trust, LiveDiscoveryConfirmsWhateverTheAge) {
-    auto e = seen(24h * 30);
-    e.listedNow = true;
-    EXPECT_EQ(level(e), TrustLevel::confirmed);
-    e.refutation = RefutationReason::drained;
-    EXPECT_EQ(level(e), TrustLevel::refuted);
+TEST(Trust, ListingByDiscoveryConfirmsAtAnyAge) {
+    auto evidence = confirmedAgo(24h * 30);
+    evidence.listedNow = true;
+    EXPECT_EQ(level(evidence), TrustLevel::confirmed);
+    evidence.refutation = RefutationReason::drained;
+    EXPECT_EQ(level(evidence), TrustLevel::refuted);
 }
 
-TEST(Trust, WhatSpeaksAgainstItRefutesAtAnyAge) {
-    for (const auto against : {RefutationReason::drained, RefutationReason::deleted,
-                               RefutationReason::missing, RefutationReason::addressReassigned,
-                               RefutationReason::rateLimitMismatch, RefutationReason::unexpectedServer}) {
-        auto e = seen(0s);
-        e.refutation = against;
-        EXPECT_EQ(level(e), TrustLevel::refuted) << name(against);
+TEST(Trust, EveryRefutationReasonRefutesAtAnyAge) {
+    for (const auto reason : {RefutationReason::drained, RefutationReason::deleted, RefutationReason::missing,
+                              RefutationReason::addressReassigned, RefutationReason::rateLimitMismatch,
+                              RefutationReason::unexpectedServer}) {
+        auto evidence = confirmedAgo(0s);
+        evidence.refutation = reason;
+        EXPECT_EQ(level(evidence), TrustLevel::refuted) << name(reason);
     }
 }
 
-TEST(Trust, AListWithoutAnAgeIsNeverFullyBelieved) {
-    EXPECT_EQ(level(seen(0s, ConfirmationSource::configuration)), TrustLevel::ageing);
-    const auto ahead = assess(seen(-1h), probing(), kHalf, kNow);  // the clock was set back
+TEST(Trust, AnEntryOfUnknownAgeIsNeverConfirmed) {
+    EXPECT_EQ(level(confirmedAgo(0s, ConfirmationSource::configuration)), TrustLevel::ageing);
+    const auto ahead =
+        assess(confirmedAgo(-1h), probesPermitted(), kHalfLife, kNow);  // the clock was set back
     EXPECT_EQ(ahead.level, TrustLevel::ageing);
     EXPECT_EQ(ahead.age, Policy{}.configuredAge);
 }
 
-TEST(Trust, WhereProbesAreNotPermittedOneMessageIsTheProbeWithinTheBlindLimit) {
+TEST(Trust, WithoutProbesEntriesWithinTheBlindLimitGetOneMessageAtATime) {
     Policy blind;
-    const auto young = assess(seen(30min), blind, 10min, kNow);
+    const auto young = assess(confirmedAgo(30min), blind, 10min, kNow);
     EXPECT_EQ(young.level, TrustLevel::ageing);
     EXPECT_TRUE(young.oneAtATime);
-    EXPECT_EQ(level(seen(61min), blind, 10min), TrustLevel::stale);
-    EXPECT_EQ(level(seen(30min), probing(), 10min), TrustLevel::stale);
+    EXPECT_EQ(level(confirmedAgo(61min), blind, 10min), TrustLevel::stale);
+    EXPECT_EQ(level(confirmedAgo(30min), probesPermitted(), 10min), TrustLevel::stale);
 }
 
-TEST(Trust, WhatAnsweredInThisLifeGoesOn) {
-    auto e = seen(24h, ConfirmationSource::probe);
-    EXPECT_EQ(level(e), TrustLevel::stale);
-    e.answeredThisRun = true;
-    EXPECT_EQ(level(e), TrustLevel::ageing);
+TEST(Trust, AnEndpointThatAnsweredInThisRunStaysInUse) {
+    auto evidence = confirmedAgo(24h, ConfirmationSource::probe);
+    EXPECT_EQ(level(evidence), TrustLevel::stale);
+    evidence.answeredThisRun = true;
+    EXPECT_EQ(level(evidence), TrustLevel::ageing);
 }
 
-TEST(Trust, HalfLifeIsLearnt) {
-    Policy p;
+TEST(Trust, ChurnLearnsTheHalfLife) {
+    Policy policy;
     Churn quiet, busy;
-    EXPECT_EQ(quiet.halfLife(p), p.halfLife);
+    EXPECT_EQ(quiet.halfLife(policy), policy.halfLife);
     quiet.observe(100, 24h, 0);
-    EXPECT_GT(quiet.halfLife(p), 24h);
-    // 20 entries each replaced once in ten minutes: a half-life of 7 minutes, were it not for the prior.
+    EXPECT_GT(quiet.halfLife(policy), 24h);
+    // 20 entries, each replaced once in ten minutes: a half-life of 7 minutes without the prior.
     busy.observe(20, 10min, 20);
-    EXPECT_LT(busy.halfLife(p), 30min);
-    EXPECT_GT(busy.halfLife(p), 5min);
+    EXPECT_LT(busy.halfLife(policy), 30min);
+    EXPECT_GT(busy.halfLife(policy), 5min);
     busy.observe(20, 100min, 2000);
-    EXPECT_EQ(busy.halfLife(p), p.halfLifeLeast);
+    EXPECT_EQ(busy.halfLife(policy), policy.halfLifeLeast);
     Churn back;
     back.restore(busy.entrySeconds(), busy.changes());
-    EXPECT_EQ(back.halfLife(p), busy.halfLife(p));
+    EXPECT_EQ(back.halfLife(policy), busy.halfLife(policy));
     back.restore(-1, 3);
-    EXPECT_EQ(back.halfLife(p), busy.halfLife(p));
+    EXPECT_EQ(back.halfLife(policy), busy.halfLife(policy));
 }
 
-TEST(Trust, ExplainsWhyAndWhatWouldChangeIt) {
-    const auto p = probing();
-    const auto stale = explain(seen(24h), assess(seen(24h), p, kHalf, kNow), p, kHalf);
+TEST(Trust, ExplainGivesTheReasonAndWhatWouldChangeIt) {
+    const auto policy = probesPermitted();
+    const auto stale =
+        explain(confirmedAgo(24h), assess(confirmedAgo(24h), policy, kHalfLife, kNow), policy, kHalfLife);
     EXPECT_NE(stale.find("stale"), std::string::npos);
     EXPECT_NE(stale.find("1 d ago"), std::string::npos);
     EXPECT_NE(stale.find("probe"), std::string::npos);
-    auto gone = seen(1s);
+    auto gone = confirmedAgo(1s);
     gone.refutation = RefutationReason::drained;
-    const auto text = explain(gone, assess(gone, p, kHalf, kNow), p, kHalf);
+    const auto text = explain(gone, assess(gone, policy, kHalfLife, kNow), policy, kHalfLife);
     EXPECT_NE(text.find("refuted: draining"), std::string::npos);
 }
 
-TEST(Trust, AfterARestartAProbeGoesFirstHoweverYoungTheList) {
-    EXPECT_TRUE(assess(seen(1s), probing(), kHalf, kNow).probeFirst);
-    EXPECT_FALSE(assess(seen(1s), Policy{}, kHalf, kNow).probeFirst);  // where probes are not permitted
-    auto e = seen(1s);
-    e.listedThisRun = true;
-    EXPECT_FALSE(assess(e, probing(), kHalf, kNow).probeFirst);
-    e = seen(24h);
-    e.answeredThisRun = true;
-    EXPECT_FALSE(assess(e, probing(), kHalf, kNow).probeFirst);
+TEST(Trust, AfterARestartAProbeGoesFirstEvenForAYoungList) {
+    EXPECT_TRUE(assess(confirmedAgo(1s), probesPermitted(), kHalfLife, kNow).probeFirst);
+    EXPECT_FALSE(
+        assess(confirmedAgo(1s), Policy{}, kHalfLife, kNow).probeFirst);  // where probes are not permitted
+    auto evidence = confirmedAgo(1s);
+    evidence.listedThisRun = true;
+    EXPECT_FALSE(assess(evidence, probesPermitted(), kHalfLife, kNow).probeFirst);
+    evidence = confirmedAgo(24h);
+    evidence.answeredThisRun = true;
+    EXPECT_FALSE(assess(evidence, probesPermitted(), kHalfLife, kNow).probeFirst);
 }
 
-// Danger: a release killed 70 of 100 senders at once, and each probed each endpoint in its first half second:
-// 666 probes in one second, at partners that take 26 to 120 calls. The limits were used up by that alone.
-TEST(Trust, AFleetWhoseProbesWouldNotFitIsAskedByItsFirstMessages) {
+// When a release restarted 70 of 100 senders at once, each probed every endpoint within its first half
+// second. That made 666 probes in one second, to destinations with limits of 26 to 120 requests per second,
+// so the probes alone used up the limits.
+TEST(Trust, NoProbeFirstWhereTheProbesOfAllSendersExceedTheRateLimit) {
     const auto probed = [](int senders, double rate, milliseconds age) {
-        auto policy = probing();
+        auto policy = probesPermitted();
         policy.senders = senders;
-        auto e = seen(age);
-        e.rateLimit = rate;
-        return assess(e, policy, kHalf, kNow).probeFirst;
+        auto evidence = confirmedAgo(age);
+        evidence.rateLimit = rate;
+        return assess(evidence, policy, kHalfLife, kNow).probeFirst;
     };
     for (const double rate : {2.5, 33.0, 120.0}) EXPECT_TRUE(probed(2, rate, 1s)) << rate;
-    // Half of the fleet asks within 400 ms; what the partner takes in that time is the most there may be.
+    // Half of the senders probe within 400 ms, which must not exceed the rate limit for that time.
     EXPECT_TRUE(probed(24, 31, 1s));
     EXPECT_FALSE(probed(26, 31, 1s));
     EXPECT_FALSE(probed(100, 33, 1s));
     EXPECT_FALSE(probed(300, 120, 1s));
     EXPECT_TRUE(probed(300, 1000, 1s));
-    EXPECT_TRUE(probed(300, 0, 1s));          // nothing is told: as ever
-    EXPECT_TRUE(probed(300, 33, 8 * kHalf));  // what is likely wrong is probed in any fleet
+    EXPECT_TRUE(probed(300, 0, 1s));              // the rate limit is unknown
+    EXPECT_TRUE(probed(300, 33, 8 * kHalfLife));  // a stale entry is always probed first
 }
 
 // ---- probes ----
 
 const TimePoint kStart = TimePoint(std::chrono::hours(100));
 
-ProbeCandidate stale(const std::string& endpoint, std::uint64_t destination, std::size_t held = 0,
+ProbeCandidate stale(const std::string& endpoint, std::uint64_t destination, std::size_t waitingMessages = 0,
                      double traffic = 0) {
-    return {endpoint, destination, 4, held, traffic, {}};
+    return {endpoint, destination, 4, waitingMessages, traffic, {}};
 }
 
-/// Plays `next` until `until`, answering each probe by `answer`; gives when each went out.
-std::multimap<std::string, TimePoint> play(ProbeScheduler& probes,
-                                           const std::vector<ProbeCandidate>& candidates, TimePoint until,
-                                           bool answer) {
+/// Sends the probes that next() asks for until `until`, each with the result `answer`. Returns when each went
+/// out.
+std::multimap<std::string, TimePoint> runProbes(ProbeScheduler& probes,
+                                                const std::vector<ProbeCandidate>& candidates,
+                                                TimePoint until, bool answer) {
     std::multimap<std::string, TimePoint> sent;
     for (auto now = kStart; now < until;) {
         const auto next = probes.next(candidates, now);
@@ -179,7 +189,7 @@
             sent.emplace(*next.endpoint, now);
             probes.recordAnswer(*next.endpoint, answer, now);
         } else if (next.checkAgainAt) {
-            EXPECT_GT(*next.checkAgainAt, now);  // or the caller would spin
+            EXPECT_GT(*next.checkAgainAt, now);  // otherwise the caller would loop without a pause
             now = std::max(now + 1ms, *next.checkAgainAt);
         } else {
             break;
@@ -188,7 +198,7 @@
     return sent;
 }
 
-TEST(ProbeScheduler, DemandGoesFirstThenTraffic) {
+TEST(ProbeScheduler, WaitingMessagesGoFirstThenTraffic) {
     ProbePolicy policy;
     policy.jitter = 0ms;
     policy.perSecond = 4;
@@ -198,12 +208,12 @@
                                           stale("wanted", 3, 2, 0)};
     EXPECT_EQ(probes.next(all, kStart).endpoint, "wanted");
     const auto later = probes.next(all, kStart);
-    ASSERT_FALSE(later.endpoint);  // the sender's own budget
+    ASSERT_FALSE(later.endpoint);  // limited by the sender's budget
     ASSERT_TRUE(later.checkAgainAt);
     EXPECT_EQ(probes.next(all, *later.checkAgainAt).endpoint, "busy");
 }
 
-TEST(ProbeScheduler, StayWithinTheBudgetOfTheSenderAndOfADestination) {
+TEST(ProbeScheduler, ProbesStayWithinTheBudgetsOfSenderAndDestination) {
     ProbePolicy policy;
     policy.senders = 2;
     policy.perSecond = 4;
@@ -213,59 +223,59 @@
     for (int i = 0; i < 8; ++i) all.push_back(stale("a" + std::to_string(i), 1, 3));
     for (int i = 0; i < 40; ++i)
         all.push_back(stale("b" + std::to_string(i), 100 + static_cast<unsigned>(i)));
-    const auto sent = play(probes, all, kStart + 60s, false);
+    const auto sent = runProbes(probes, all, kStart + 60s, false);
     std::size_t first = 0;
     for (const auto& [endpoint, at] : sent) first += endpoint[0] == 'a';
     EXPECT_LE(sent.size(), 4 * 60 + 1u);
-    // 4/s told, 38% of it while cold, 15% of that for probes, half of that ours: one in 8.8 s.
+    // 38% of the limit of 4/s during warm-up, 15% of that for probes, shared by two senders: one in 8.8 s.
     EXPECT_LE(first, 60 / 8 + 1);
     EXPECT_GE(first, 4u);
 }
 
-TEST(ProbeScheduler, WhereNoCallMayGoTheyHaveTheCallsPartOfTheBudget) {
+TEST(ProbeScheduler, AnUnusableDestinationGetsMostOfTheColdBudgetForProbes) {
     ProbePolicy policy;
     policy.backOff = 1ms;
     policy.backOffMost = 1ms;
-    const auto count = [&](bool served) {
+    const auto count = [&](bool usable) {
         ProbeScheduler probes(policy, 3);
         probes.begin(kStart);
-        auto one = stale("a", 1, 1);
-        one.destinationUsable = served;
-        return play(probes, {one}, kStart + 60s, false).size();
+        auto candidate = stale("a", 1, 1);
+        candidate.destinationUsable = usable;
+        return runProbes(probes, {candidate}, kStart + 60s, false).size();
     };
     EXPECT_LE(count(true), 15u);   // 0.15 x 0.38 x 4/s: one in 4.4 s
-    EXPECT_LE(count(false), 83u);  // 0.9 of it: 1.4 a second, under what pushes a cold partner over
+    EXPECT_LE(count(false), 83u);  // 0.9 x 0.38 x 4/s: 1.4/s, which does not overload it in warm-up
     EXPECT_GE(count(false), 60u);
 }
 
-TEST(ProbeScheduler, BackOffFromSilence) {
+TEST(ProbeScheduler, FailedProbesBackOff) {
     ProbePolicy policy;
     policy.coldShare = 0.25;
     ProbeScheduler probes(policy, 3);
     probes.begin(kStart);
-    auto one = stale("a", 1, 1);
-    one.rateLimit = 1000;
-    const auto sent = play(probes, {one}, kStart + 10min, false);
+    auto candidate = stale("a", 1, 1);
+    candidate.rateLimit = 1000;
+    const auto sent = runProbes(probes, {candidate}, kStart + 10min, false);
     EXPECT_LT(sent.size(), 20u);  // 1, 2, 4, ... 60, 60 s
     EXPECT_GT(sent.size(), 10u);
 }
 
-TEST(ProbeScheduler, AToldWaitHoldsThemToo) {
+TEST(ProbeScheduler, AnAnnouncedWaitHoldsForProbes) {
     ProbeScheduler probes({}, 3);
     probes.begin(kStart);
-    auto one = stale("a", 1, 1);
-    one.waitUntil = kStart + 5s;
-    const auto sent = play(probes, {one}, kStart + 6s, false);
+    auto candidate = stale("a", 1, 1);
+    candidate.waitUntil = kStart + 5s;
+    const auto sent = runProbes(probes, {candidate}, kStart + 6s, false);
     ASSERT_FALSE(sent.empty());
-    for (const auto& [endpoint, at] : sent) EXPECT_GE(at, one.waitUntil);
+    for (const auto& [endpoint, at] : sent) EXPECT_GE(at, candidate.waitUntil);
 }
 
-TEST(ProbeScheduler, SendersThatRestartTogetherComeApart) {
+TEST(ProbeScheduler, JitterSpreadsTheFirstProbesOfSeveralSenders) {
     std::set<TimePoint> first;
     for (unsigned seed = 1; seed <= 20; ++seed) {
         ProbeScheduler probes({}, seed);
         probes.begin(kStart);
-        const auto sent = play(probes, {stale("a", 1)}, kStart + 1s, true);
+        const auto sent = runProbes(probes, {stale("a", 1)}, kStart + 1s, true);
         ASSERT_FALSE(sent.empty());
         first.insert(sent.begin()->second);
     }
