--- a/src/listing/listing.cpp
+++ b/src/listing/listing.cpp
@@ -11,27 +11,28 @@
 namespace laurelhaven::listing {
 namespace {
 
-bool readString(const Json::Value& entry, const char* name, std::string& into) {
+bool readString(const Json::Value& entry, const char* name, std::string& value) {
     if (!entry[name].isString()) return false;
-    into = entry[name].asString();
+    value = entry[name].asString();
     return true;
 }
 
-bool parseEndpoint(const Json::Value& entry, Endpoint& e) {
+bool parseEndpoint(const Json::Value& entry, Endpoint& endpoint) {
     std::string status;
-    if (!entry.isObject() || !readString(entry, "name", e.name) || e.name.empty()) return false;
+    if (!entry.isObject() || !readString(entry, "name", endpoint.name) || endpoint.name.empty()) return false;
     if (!readString(entry, "status", status) || !entry["group"].isUInt64()) return false;
-    e.destination = entry["group"].asUInt64();
-    if (status == "SERVING") e.status = Status::serving;
-    else if (status == "DRAINING") e.status = Status::draining;
-    else if (status == "DELETED") e.status = Status::deleted;
+    endpoint.destination = entry["group"].asUInt64();
+    if (status == "SERVING") endpoint.status = Status::serving;
+    else if (status == "DRAINING") endpoint.status = Status::draining;
+    else if (status == "DELETED") endpoint.status = Status::deleted;
     else return false;
-    const bool gone = e.status == Status::deleted;
-    if (!gone && (!readString(entry, "address", e.address) || !net::address(e.address))) return false;
-    readString(entry, "zone", e.zone);
-    readString(entry, "type", e.type);
-    if (entry["weight"].isNumeric()) e.weight = entry["weight"].asDouble();
-    if (entry["since_ms"].isInt64()) e.startedAtMs = entry["since_ms"].asInt64();
+    const bool deleted = endpoint.status == Status::deleted;
+    if (!deleted && (!readString(entry, "address", endpoint.address) || !net::address(endpoint.address)))
+        return false;
+    readString(entry, "zone", endpoint.zone);
+    readString(entry, "type", endpoint.type);
+    if (entry["weight"].isNumeric()) endpoint.weight = entry["weight"].asDouble();
+    if (entry["since_ms"].isInt64()) endpoint.startedAtMs = entry["since_ms"].asInt64();
     return true;
 }
 
@@ -41,45 +42,45 @@
 
 }  // namespace
 
-Json::Value toJson(const Endpoint& e) {
-    Json::Value one;
-    one["name"] = e.name;
-    one["address"] = e.address;
-    one["zone"] = e.zone;
-    one["type"] = e.type;
-    one["group"] = Json::UInt64(e.destination);
-    one["status"] = statusName(e.status);
-    one["weight"] = e.weight;
-    one["since_ms"] = Json::Int64(e.startedAtMs);
-    return one;
+Json::Value toJson(const Endpoint& endpoint) {
+    Json::Value json;
+    json["name"] = endpoint.name;
+    json["address"] = endpoint.address;
+    json["zone"] = endpoint.zone;
+    json["type"] = endpoint.type;
+    json["group"] = Json::UInt64(endpoint.destination);
+    json["status"] = statusName(endpoint.status);
+    json["weight"] = endpoint.weight;
+    json["since_ms"] = Json::Int64(endpoint.startedAtMs);
+    return json;
 }
 
-std::optional<Json::Value> parseJson(std::string_view text, std::string& why) {
+std::optional<Json::Value> parseJson(std::string_view text, std::string& error) {
     Json::CharReaderBuilder builder;
     builder["collectComments"] = false;
     builder["failIfExtra"] = true;
-    builder["stackLimit"] = 64;  // garbage of thousands of brackets must not end a thread of small stack
+    builder["stackLimit"] = 64;  // thousands of nested brackets would overflow a thread's small stack
     const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
     Json::Value value;
     try {
-        if (reader->parse(text.data(), text.data() + text.size(), &value, &why)) return value;
-    } catch (const std::exception& e) {
-        why = e.what();
+        if (reader->parse(text.data(), text.data() + text.size(), &value, &error)) return value;
+    } catch (const std::exception& exception) {
+        error = exception.what();
     }
-    std::replace(why.begin(), why.end(), '\n', ' ');  // it goes into one line of the log
+    std::replace(error.begin(), error.end(), '\n', ' ');  // it is logged on one line
     return {};
 }
 
-std::optional<EndpointList> parse(std::string_view text, std::string& why) {
-    const auto value = parseJson(text, why);
-    return value ? fromJson(*value, why) : std::nullopt;
+std::optional<EndpointList> parse(std::string_view text, std::string& error) {
+    const auto value = parseJson(text, error);
+    return value ? fromJson(*value, error) : std::nullopt;
 }
 
-std::optional<EndpointList> fromJson(const Json::Value& value, std::string& why) {
+std::optional<EndpointList> fromJson(const Json::Value& value, std::string& error) {
     EndpointList list;
     if (!value.isObject() || !value["index"].isUInt64() || !value["snapshot"].isBool() ||
         !value["endpoints"].isArray()) {
-        why = "not an object with index, snapshot and endpoints";
+        error = "not an object with index, snapshot and endpoints";
         return {};
     }
     list.index = value["index"].asUInt64();
@@ -87,7 +88,7 @@
     for (const auto& entry : value["endpoints"]) {
         list.endpoints.emplace_back();
         if (parseEndpoint(entry, list.endpoints.back())) continue;
-        why = "an entry without a usable name, address, group or status";
+        error = "an entry without a usable name, address, group or status";
         return {};
     }
     return list;
--- a/src/listing/listing.hpp
+++ b/src/listing/listing.hpp
@@ -1,4 +1,5 @@
-// The list of endpoints in discovery's form, as plain values. Pure: text in, no I/O.
+// The list of endpoints in discovery's JSON format, and its conversion to plain values. No I/O and no shared
+// state, so everything here may be used from any thread.
 #pragma once
 
 #include <json/value.h>
@@ -15,25 +16,28 @@
 
 struct Endpoint {
     std::string name, address, zone, type;
-    std::uint64_t destination = 0;
+    std::uint64_t destination = 0;  ///< "group" in JSON
     Status status = Status::serving;
-    double weight = 0;
-    std::int64_t startedAtMs = 0;  ///< Unix time at which it last started, in milliseconds; 0: long ago
+    double weight = 0;  ///< announced requests per second of the destination; 0: unknown
+    /// Unix time of its last start in milliseconds, "since_ms" in JSON; 0: long ago.
+    std::int64_t startedAtMs = 0;
     bool operator==(const Endpoint&) const = default;
 };
 
+/// A full list, or the changes since an earlier one.
 struct EndpointList {
-    std::uint64_t index = 0;
-    bool snapshot = false;  ///< the whole list, not only what changed
+    std::uint64_t index = 0;  ///< version of the list, in discovery's numbering
+    bool snapshot = false;    ///< a full list; otherwise only the entries that changed
     std::vector<Endpoint> endpoints;
 };
 
-/// Nothing, with the reason in `why`, where the text or any entry is not of the form.
-std::optional<EndpointList> parse(std::string_view text, std::string& why);
-std::optional<EndpointList> fromJson(const Json::Value& value, std::string& why);
-/// An endpoint as discovery writes it; fromJson() gives the same back.
+/// Parses a list. Returns no value, with the reason in `error`, where the text or any entry is malformed.
+std::optional<EndpointList> parse(std::string_view text, std::string& error);
+std::optional<EndpointList> fromJson(const Json::Value& value, std::string& error);
+/// An endpoint as discovery writes it. fromJson() returns an equal endpoint.
 Json::Value toJson(const Endpoint& endpoint);
-/// One JSON value of the text, or nothing. Never throws.
-std::optional<Json::Value> parseJson(std::string_view text, std::string& why);
+/// Parses a text that holds exactly one JSON value. Returns no value, with the reason in `error` on one line,
+/// where it does not. Never throws.
+std::optional<Json::Value> parseJson(std::string_view text, std::string& error);
 
 }  // namespace laurelhaven::listing
