--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -15,23 +15,23 @@
 using trust::RefutationReason;
 using trust::TrustLevel;
 
-constexpr milliseconds kOutcomeBatchTime{1000};     // word of deliveries is taken in at most so often
-constexpr milliseconds kMinReassessInterval{1000};  // time alone is looked at at most so often
-constexpr milliseconds kWarmUpStartTolerance{500};  // a warm-up's start is known about so well
-constexpr milliseconds kWriteRetryPause{100};       // after a write that failed
-constexpr double kTrafficDecay = 0.5;               // of the past traffic, at each start
+constexpr milliseconds kOutcomeBatchTime{1000};     // outcomes of attempts are applied at most this often
+constexpr milliseconds kMinReassessInterval{1000};  // between reassessments because of age
+constexpr milliseconds kWarmUpStartTolerance{500};  // smaller changes of a warm-up's start are not saved
+constexpr milliseconds kWriteRetryPause{100};       // after a failed write
+constexpr double kTrafficDecay = 0.5;               // of the earlier deliveries, at each start
 constexpr std::size_t kMaxProbeResponseBytes = 16 * 1024;
 
-/// The entry as the facade is told of it.
+/// The endpoint as it is published to the facade. One that must not be used now is draining or deleted there.
 listing::Endpoint endpointToPublish(const membership::Entry& entry) {
-    auto told = entry.endpoint;
+    auto published = entry.endpoint;
     if (entry.isTombstone())
-        told.status = entry.refutation == RefutationReason::drained ? listing::Status::draining
-                                                                    : listing::Status::deleted;
-    else if (entry.suspended || entry.probeFirst) told.status = listing::Status::draining;
-    else if (entry.trustLevel == TrustLevel::refuted) told.status = listing::Status::deleted;
-    else told.status = listing::Status::serving;
-    return told;
+        published.status = entry.refutation == RefutationReason::drained ? listing::Status::draining
+                                                                         : listing::Status::deleted;
+    else if (entry.suspended || entry.probeFirst) published.status = listing::Status::draining;
+    else if (entry.trustLevel == TrustLevel::refuted) published.status = listing::Status::deleted;
+    else published.status = listing::Status::serving;
+    return published;
 }
 
 bool usable(const membership::Entry& entry) {
@@ -54,70 +54,70 @@
             config.state, kept::listBudgetBytes(config.diskBytes, options.diskShare), config.name);
 }
 
-// ---- the start ----
+// ---- start and stop ----
 
 void Roster::loadSavedList(RecordMs now) {
     auto loaded = file_->load(now);
     if (loaded.state == kept::FileState::absent) return;
     if (loaded.state != kept::FileState::good)
         log::warning() << "kept list: " << kept::name(loaded.state) << ": " << loaded.problem << "; "
-                       << loaded.list.entries.size() << " entries of it are used";
+                       << loaded.list.entries.size() << " of its entries are loaded";
     if (loaded.writtenInFuture)
         log::warning()
-            << "kept list: written later than now by the clock, which was set back; its ages count "
-               "as those of a configured list";
-    auto& image = loaded.list;
-    if (image.entries.empty()) return;
-    list_.restore(image.index, image.epoch, image.churn);
-    for (auto& [name, entry] : image.entries) {
+            << "kept list: written at a later time than the clock shows, so the clock was set back; its "
+               "entries are taken to be as old as configured ones";
+    auto& saved = loaded.list;
+    if (saved.entries.empty()) return;
+    list_.restore(saved.index, saved.epoch, saved.churn);
+    for (auto& [name, entry] : saved.entries) {
         entry.deliveries *= kTrafficDecay;
         list_.restore(std::move(entry));
     }
-    const milliseconds absence(std::max<RecordMs>(0, now - image.writtenAt));
+    const milliseconds absence(std::max<RecordMs>(0, now - saved.writtenAt));
     longAbsence_ = loaded.writtenInFuture || absence > options_.membership.trust.confirmedFor;
-    (log::info() << "kept list: read")
-        .kv("entries", image.entries.size())
-        .kv("index", image.index)
+    (log::info() << "kept list: loaded from disk")
+        .kv("entries", saved.entries.size())
+        .kv("index", saved.index)
         .kv("age", trust::formatDuration(absence));
-    // A list in use is written so often at least, and at once where an outage begins.
+    // A list in use is written at least this often, and at once when an outage begins.
     if (!loaded.writtenInFuture)
-        healthKnownUntil_ = image.writtenAt + (options_.confirmEvery + options_.writeEvery).count();
-    std::vector<decisions::DestinationHealth> told;
+        healthKnownUntil_ = saved.writtenAt + (options_.confirmEvery + options_.writeEvery).count();
+    std::vector<decisions::DestinationHealth> report;
     const auto warmUp = std::chrono::ceil<milliseconds>(config_.settings.warmUp);
-    for (const auto& [destination, s] : image.destinationHealth) {
-        savedHealth_[destination] = s;
-        decisions::DestinationHealth standing{destination, false, {}, s.rateLimit, false, false};
-        standing.down = s.down && now - s.lastOutageAt <= options_.outageMemory.count();
-        const milliseconds cold(std::max<RecordMs>(0, now - s.recoveredAt));
-        if (s.recoveredAt > 0 && cold < warmUp) standing.sinceRecovery = cold;
-        if (standing.down || standing.sinceRecovery || standing.rateLimit > 0) told.push_back(standing);
+    for (const auto& [destination, health] : saved.destinationHealth) {
+        savedHealth_[destination] = health;
+        decisions::DestinationHealth known{destination, false, {}, health.rateLimit, false, false};
+        known.down = health.down && now - health.lastOutageAt <= options_.outageMemory.count();
+        const milliseconds sinceRecovery(std::max<RecordMs>(0, now - health.recoveredAt));
+        if (health.recoveredAt > 0 && sinceRecovery < warmUp) known.sinceRecovery = sinceRecovery;
+        if (known.down || known.sinceRecovery || known.rateLimit > 0) report.push_back(known);
     }
-    decisions_.updateDestinationHealth(told);
+    decisions_.updateDestinationHealth(report);
 }
 
 void Roster::begin() {
     const std::lock_guard lock(listMutex_);
     const auto now = recordClock_.now();
     if (file_) loadSavedList(now);
-    const auto before = list_.entries().size();
+    const auto savedEntries = list_.entries().size();
     list_.applyConfiguration(config_.known, now);
-    std::vector<listing::Endpoint> news;
+    std::vector<listing::Endpoint> changes;
     std::unordered_set<std::uint64_t> destinations;
     for (const auto& entry : list_.entries()) {
-        reassess(*entry, now, news);
+        reassess(*entry, now, changes);
         destinations.insert(entry->endpoint.destination);
     }
-    news.clear();
+    changes.clear();
     for (const auto& entry : list_.entries())
-        if (const auto told = endpointToPublish(*entry); told.status != listing::Status::deleted)
-            news.push_back(told);
-    publish(destinations, std::move(news), true);
+        if (const auto published = endpointToPublish(*entry); published.status != listing::Status::deleted)
+            changes.push_back(published);
+    publish(destinations, std::move(changes), true);
     begun_ = true;
     probes_.begin(Steady::now());
     reassessAt_ = Steady::now() + kMinReassessInterval;
     if (file_) writeAt_ = Steady::now() + options_.writeEvery;
-    if (before > 0 || !config_.known.endpoints.empty())
-        (log::info() << "list at the start")
+    if (savedEntries > 0 || !config_.known.endpoints.empty())
+        (log::info() << "endpoint list: loaded")
             .kv("entries", list_.entries().size())
             .kv("stale", awaitingProbe_.size())
             .kv("gone", list_.tombstoneCount())
@@ -142,92 +142,96 @@
     return writeAt_ == Steady::time_point{};
 }
 
-// ---- judging and offering ----
+// ---- trust and publication ----
 
-void Roster::reassess(membership::Entry& entry, RecordMs now, std::vector<listing::Endpoint>& news) {
-    const auto judged = list_.assess(entry, now);
-    const auto before = endpointToPublish(entry).status;
-    entry.trustLevel = judged.level;
-    entry.probeFirst = judged.probeFirst;
-    if (judged.validUntil > 0)
-        reassessAt_ = std::min(reassessAt_, Steady::now() + std::max(kMinReassessInterval,
-                                                                     milliseconds(judged.validUntil - now)));
-    if (judged.probeFirst && entry.refutation == RefutationReason::none)
+void Roster::reassess(membership::Entry& entry, RecordMs now, std::vector<listing::Endpoint>& changes) {
+    const auto assessment = list_.assess(entry, now);
+    const auto statusBefore = endpointToPublish(entry).status;
+    entry.trustLevel = assessment.level;
+    entry.probeFirst = assessment.probeFirst;
+    if (assessment.validUntil > 0)
+        reassessAt_ = std::min(
+            reassessAt_,
+            Steady::now() + std::max(kMinReassessInterval, milliseconds(assessment.validUntil - now)));
+    if (assessment.probeFirst && entry.refutation == RefutationReason::none)
         awaitingProbe_.insert(entry.endpoint.name);
     else awaitingProbe_.erase(entry.endpoint.name);
-    if (endpointToPublish(entry).status != before) news.push_back(endpointToPublish(entry));
+    if (endpointToPublish(entry).status != statusBefore) changes.push_back(endpointToPublish(entry));
 }
 
-// A destination is in doubt while nobody vouches for an endpoint of it, and after a long absence, when
-// whatever befell it went unseen. Danger: its doubt is lifted only while it has not been capped, or a
-// confirmation of its address, which says nothing of its health, would let the whole backlog go at once.
+/// Collects the destinations that become unconfirmed or confirmed. A destination is unconfirmed while none of
+/// its usable endpoints is confirmed, and after a long absence, in which changes of its state went unseen.
+/// The decision module drops the mark early only while no attempt was made under it. Otherwise a confirmation
+/// of an address, which says nothing about health, would release the whole backlog at once.
 void Roster::updateUnconfirmed(const std::unordered_set<std::uint64_t>& destinations,
-                               std::vector<decisions::DestinationHealth>& told) {
+                               std::vector<decisions::DestinationHealth>& changes) {
     for (const auto destination : destinations) {
-        bool any = false, vouched = false;
+        bool usableExists = false, confirmed = false;
         for (const auto* entry : list_.endpointsOf(destination)) {
-            any = any || usable(*entry);
-            // A probe says that somebody is there, and nothing of how much it can take.
-            vouched = vouched || (usable(*entry) && entry->trustLevel == TrustLevel::confirmed &&
-                                  (list_.discoveryLive() || entry->confirmedBy != ConfirmationSource::probe));
+            usableExists = usableExists || usable(*entry);
+            // An answered probe shows that the server is there, but not how much load it can take.
+            confirmed =
+                confirmed || (usable(*entry) && entry->trustLevel == TrustLevel::confirmed &&
+                              (list_.discoveryLive() || entry->confirmedBy != ConfirmationSource::probe));
         }
-        const bool doubt = any && (!vouched || (longAbsence_ && !begun_));
-        if (doubt && unconfirmed_.insert(destination).second) {
-            told.push_back({destination, false, {}, 0, true, false});
-        } else if (any && list_.discoveryLive() && vouched && !longAbsence_ &&
+        const bool unconfirmed = usableExists && (!confirmed || (longAbsence_ && !begun_));
+        if (unconfirmed && unconfirmed_.insert(destination).second) {
+            changes.push_back({destination, false, {}, 0, true, false});
+        } else if (usableExists && list_.discoveryLive() && confirmed && !longAbsence_ &&
                    unconfirmed_.erase(destination) > 0) {
-            told.push_back({destination, false, {}, 0, false, false});
+            changes.push_back({destination, false, {}, 0, false, false});
         }
     }
 }
 
-/// Tells the facade what became of some endpoints: doubts first, so that nothing new is called at full pace.
+/// Publishes changed endpoints to the facade. Unconfirmed destinations go first, so that a new endpoint is
+/// not used at full pace.
 void Roster::publish(const std::unordered_set<std::uint64_t>& destinations,
-                     std::vector<listing::Endpoint> news, bool saved) {
-    std::vector<decisions::DestinationHealth> doubts;
-    updateUnconfirmed(destinations, doubts);
-    decisions_.updateDestinationHealth(doubts);
-    if (news.empty() && !saved) return;
+                     std::vector<listing::Endpoint> changes, bool saved) {
+    std::vector<decisions::DestinationHealth> healthChanges;
+    updateUnconfirmed(destinations, healthChanges);
+    decisions_.updateDestinationHealth(healthChanges);
+    if (changes.empty() && !saved) return;
     listing::EndpointList list;
     list.index = list_.index();
     list.snapshot = saved;
-    list.endpoints = std::move(news);
+    list.endpoints = std::move(changes);
     decisions_.updateEndpoints(list, saved);
 }
 
 void Roster::reassessAll(RecordMs now) {
     reassessAt_ = Steady::time_point::max();
-    std::vector<listing::Endpoint> news;
+    std::vector<listing::Endpoint> changes;
     std::unordered_set<std::uint64_t> destinations;
     for (const auto& entry : list_.entries()) {
-        const auto was = entry->trustLevel;
-        reassess(*entry, now, news);
-        if (entry->trustLevel != was) destinations.insert(entry->endpoint.destination);
+        const auto levelBefore = entry->trustLevel;
+        reassess(*entry, now, changes);
+        if (entry->trustLevel != levelBefore) destinations.insert(entry->endpoint.destination);
     }
-    publish(destinations, std::move(news));
+    publish(destinations, std::move(changes));
 }
 
 void Roster::reassessEndpoints(const std::vector<std::string>& endpoints, RecordMs now) {
-    std::vector<listing::Endpoint> news;
+    std::vector<listing::Endpoint> changes;
     std::unordered_set<std::uint64_t> destinations;
     for (const auto& name : endpoints) {
         markUnsaved(name);
         auto* entry = list_.find(name);
         if (!entry) {
-            // Its tombstone is forgotten. Danger: what drained and was never deleted would stay in the tables
-            // of the facade and the module for good.
+            // Its tombstone was dropped. Without a deletion here, an endpoint that drained and was never
+            // reported as deleted would stay in the tables of the facade and the decision module for ever.
             awaitingProbe_.erase(name);
-            news.push_back({name, {}, {}, {}, 0, listing::Status::deleted, 0, 0});
+            changes.push_back({name, {}, {}, {}, 0, listing::Status::deleted, 0, 0});
             continue;
         }
-        reassess(*entry, now, news);
-        if (news.empty() || news.back().name != name) news.push_back(endpointToPublish(*entry));
+        reassess(*entry, now, changes);
+        if (changes.empty() || changes.back().name != name) changes.push_back(endpointToPublish(*entry));
         destinations.insert(entry->endpoint.destination);
     }
-    publish(destinations, std::move(news));
+    publish(destinations, std::move(changes));
 }
 
-// ---- from the watch ----
+// ---- calls of the watch on discovery ----
 
 membership::ListUpdateResult Roster::applyUpdate(const listing::EndpointList& list) {
     const std::lock_guard lock(listMutex_);
@@ -235,9 +239,9 @@
 }
 
 membership::ListUpdateResult Roster::applyFetchedList(const listing::EndpointList& list,
-                                                      std::uint64_t asked) {
+                                                      std::uint64_t requestedAfter) {
     const std::lock_guard lock(listMutex_);
-    if (list.index < list_.index() && list_.index() != asked)
+    if (list.index < list_.index() && list_.index() != requestedAfter)
         return {membership::ListUpdateResult::Kind::unchanged, {}, 0};
     return merge(list);
 }
@@ -248,17 +252,17 @@
     using Kind = membership::ListUpdateResult::Kind;
     if (result.kind == Kind::lostHistory)
         log::warning() << "registry: the list's index fell to " << list.index
-                       << ": discovery has lost its history; its whole list is taken";
+                       << ": discovery has lost its history; its full list is merged";
     if (result.suspended > 0)
-        log::warning() << "registry: the whole list names " << list.endpoints.size()
+        log::warning() << "registry: the full list has " << list.endpoints.size()
                        << " endpoints and leaves out " << result.suspended
-                       << "; these get no message, and are remembered for "
+                       << " known ones; these get no messages, and are remembered for "
                        << trust::formatDuration(options_.membership.shrinkHold);
     if (result.suspended > 0)
         reassessAt_ = std::min(reassessAt_, Steady::now() + options_.membership.shrinkHold);
     reassessEndpoints(result.touched, now);
-    // Danger: a process that is killed right now and comes back without discovery knows only what is on disk,
-    // and would call what has just been told to drain. Whatever ends an endpoint is written at once.
+    // If the process is killed now and restarts while discovery is down, it knows only what is on disk, and
+    // would use an endpoint that was just reported as draining. So the end of an endpoint is written at once.
     const bool ends = std::any_of(result.touched.begin(), result.touched.end(), [&](const auto& name) {
         const auto* entry = list_.find(name);
         return !entry || endpointToPublish(*entry).status != listing::Status::serving;
@@ -269,9 +273,9 @@
 
 void Roster::streamVerified() {
     const std::lock_guard lock(listMutex_);
-    const bool was = list_.discoveryLive();
+    const bool wasLive = list_.discoveryLive();
     list_.discoverySeen(recordClock_.now(), true);
-    if (!was) reassessAll(recordClock_.now());
+    if (!wasLive) reassessAll(recordClock_.now());
 }
 
 void Roster::heartbeat() {
@@ -285,7 +289,7 @@
     list_.discoveryLost(recordClock_.now());
     nextMarkAt_ = {};
     reassessAll(recordClock_.now());
-    const std::lock_guard in(outcomesMutex_);
+    const std::lock_guard outcomesLock(outcomesMutex_);
     wake_.notify_all();
 }
 
@@ -294,17 +298,17 @@
     return list_.index();
 }
 
-// ---- from the facade ----
+// ---- calls of the facade ----
 
-void Roster::attemptFinished(const decisions::DueAttempt& call, const decisions::AttemptResult& result) {
-    const bool good = result.status == decisions::AttemptStatus::delivered;
-    if (!good && !result.unexpectedServer) return;
+void Roster::attemptFinished(const decisions::DueAttempt& attempt, const decisions::AttemptResult& result) {
+    const bool delivered = result.status == decisions::AttemptStatus::delivered;
+    if (!delivered && !result.unexpectedServer) return;
     const std::lock_guard lock(outcomesMutex_);
     const bool first = outcomes_.empty();
-    auto& word = outcomes_[call.endpoint];  // bounded: one for each endpoint that gets calls
-    if (word.address != call.address) word = {call.address, 0, false};
-    word.delivered += good;
-    if (result.unexpectedServer && !word.unexpectedServer) word.unexpectedServer = urgent_ = true;
+    auto& outcomes = outcomes_[attempt.endpoint];  // bounded by the number of endpoints in use
+    if (outcomes.address != attempt.address) outcomes = {attempt.address, 0, false};
+    outcomes.delivered += delivered;
+    if (result.unexpectedServer && !outcomes.unexpectedServer) outcomes.unexpectedServer = urgent_ = true;
     if (first || urgent_) wake_.notify_all();
 }
 
@@ -314,21 +318,23 @@
     wake_.notify_all();
 }
 
-void Roster::applyOutcomes(std::unordered_map<std::string, EndpointOutcomes> word) {
+void Roster::applyOutcomes(std::unordered_map<std::string, EndpointOutcomes> outcomes) {
     const auto now = recordClock_.now();
     std::vector<std::string> touched;
-    for (const auto& [endpoint, one] : word) {
-        // Danger: the list may have moved the endpoint since the call went out. What answered at its old
-        // address, well or like a stranger, says nothing of the new one.
+    for (const auto& [endpoint, outcome] : outcomes) {
+        // The list may have moved the endpoint to another address since the attempt was sent. An answer from
+        // the old address, good or bad, does not apply to the new one.
         const auto* entry = list_.find(endpoint);
-        if (!entry || entry->endpoint.address != one.address) continue;
-        if (one.delivered > 0) {
+        if (!entry || entry->endpoint.address != outcome.address) continue;
+        if (outcome.delivered > 0) {
             const bool first = !entry->answeredThisRun;
-            list_.recordAnswer(endpoint, ConfirmationSource::delivery, now, one.delivered);
+            list_.recordAnswer(endpoint, ConfirmationSource::delivery, now, outcome.delivered);
             if (first && !list_.discoveryLive()) touched.push_back(endpoint);
         }
-        if (one.unexpectedServer && list_.refuteByAnswer(endpoint, RefutationReason::unexpectedServer, now)) {
-            (log::warning() << "list: an endpoint answers like a stranger; only discovery can name it again")
+        if (outcome.unexpectedServer &&
+            list_.refuteByAnswer(endpoint, RefutationReason::unexpectedServer, now)) {
+            (log::warning() << "endpoint list: an unexpected server answers at this endpoint; it is not used "
+                               "until discovery lists it again")
                 .kv("endpoint", endpoint);
             touched.push_back(endpoint);
         }
@@ -339,96 +345,96 @@
 // ---- probes ----
 
 std::vector<trust::ProbeCandidate> Roster::probeCandidates() const {
-    std::vector<trust::ProbeCandidate> all;
-    const bool may = options_.probesEnabled && config_.mayProbe;
-    if (!may || list_.discoveryLive()) return all;
+    std::vector<trust::ProbeCandidate> candidates;
+    const bool permitted = options_.probesEnabled && config_.mayProbe;
+    if (!permitted || list_.discoveryLive()) return candidates;
     for (const auto& name : awaitingProbe_) {
         const auto* entry = list_.find(name);
         if (!entry) continue;
         const auto demand = decisions_.pendingLoad(entry->endpoint.destination);
-        const auto& fellows = list_.endpointsOf(entry->endpoint.destination);
-        const bool served =
-            std::any_of(fellows.begin(), fellows.end(), [](const auto* x) { return usable(*x); });
-        all.push_back({name, entry->endpoint.destination, entry->endpoint.weight, demand.held,
-                       entry->deliveries, demand.waitUntil, served});
+        const auto& siblings = list_.endpointsOf(entry->endpoint.destination);
+        const bool destinationUsable = std::any_of(siblings.begin(), siblings.end(),
+                                                   [](const auto* sibling) { return usable(*sibling); });
+        candidates.push_back({name, entry->endpoint.destination, entry->endpoint.weight, demand.held,
+                              entry->deliveries, demand.waitUntil, destinationUsable});
     }
-    return all;
+    return candidates;
 }
 
-/// Asked once more just before the first byte. Danger: a connect takes its time, and meanwhile the endpoint
-/// may drain, or its partner tell a call to wait.
-bool Roster::probeStillAllowed(const std::string& endpoint, const std::string& at) const {
+/// Checked again just before the first byte: while the connection was set up, the endpoint may have drained,
+/// or its destination may have announced a wait.
+bool Roster::probeStillAllowed(const std::string& endpoint, const std::string& address) const {
     const std::lock_guard lock(listMutex_);
     const auto* entry = list_.find(endpoint);
-    return entry && entry->probeFirst && entry->endpoint.address == at &&
+    return entry && entry->probeFirst && entry->endpoint.address == address &&
            decisions_.pendingLoad(entry->endpoint.destination).waitUntil <= Steady::now();
 }
 
 void Roster::probeEndpoint(const std::string& endpoint) {
-    std::string at;
+    std::string address;
     double weight = 0;
     {
         const std::lock_guard lock(listMutex_);
         const auto* entry = list_.find(endpoint);
         if (!entry || !entry->probeFirst) return;
-        at = entry->endpoint.address;
+        address = entry->endpoint.address;
         weight = entry->endpoint.weight;
     }
     int status = 0;
-    bool stranger = false;
-    const auto until = net::Steady::now() + options_.probeTimeout;
-    if (const auto address = net::address(at)) {
+    bool unexpectedServer = false;
+    const auto deadline = net::Steady::now() + options_.probeTimeout;
+    if (const auto parsed = net::address(address)) {
         net::Fd fd = net::tcpSocket();
         const int raw = fd.get();
-        const bool begun = fd && net::beginConnect(raw, *address) == net::ConnectStart::begun;
+        const bool begun = fd && net::beginConnect(raw, *parsed) == net::ConnectStart::begun;
         const std::stop_callback shut(stop_.get_token(), [raw] { net::shut(raw); });
-        const auto ask = http::request("GET", "/health/live", at, {{"Connection", "close"}}, {});
-        const bool connected = begun && net::connected(raw, until);
-        if (connected && !probeStillAllowed(endpoint, at)) return;
-        if (connected && net::sendAll(raw, ask, until) == net::Io::done) {
+        const auto request = http::request("GET", "/health/live", address, {{"Connection", "close"}}, {});
+        const bool connected = begun && net::connected(raw, deadline);
+        if (connected && !probeStillAllowed(endpoint, address)) return;
+        if (connected && net::sendAll(raw, request, deadline) == net::Io::done) {
             http::Parser parser(http::Parser::Role::response);
             std::size_t bytes = 0;
-            for (std::string got;
+            for (std::string chunk;
                  parser.state() != http::Parser::State::complete &&
                  parser.state() != http::Parser::State::bad && bytes < kMaxProbeResponseBytes;
-                 got.clear()) {
-                if (net::receive(raw, got, until) != net::Io::done) break;
-                bytes += got.size();
-                parser.feed(got);
+                 chunk.clear()) {
+                if (net::receive(raw, chunk, deadline) != net::Io::done) break;
+                bytes += chunk.size();
+                parser.feed(chunk);
                 while (parser.state() == http::Parser::State::complete && parser.message().status < 200)
                     parser.next();
             }
             if (parser.state() == http::Parser::State::complete ||
                 parser.finish() == http::Parser::State::complete)
                 status = parser.message().status;
-            // A probe tells no name. Where the answer tells a limit that is not this partner's, somebody else
-            // has its address.
+            // The answer to a probe does not name the server. If it announces a rate limit that is far from
+            // this destination's, another server has the address.
             if (const auto* load = parser.message().headers.find("Srv-Load"); load && weight > 0) {
                 for (const auto part : http::split(*load, ",")) {
                     if (part.substr(0, 3) != "x1=") continue;
-                    const auto told = http::decimal(part.substr(3));
-                    if (told && *told > 0)
-                        stranger = *told > weight * options_.strangerFactor ||
-                                   *told < weight / options_.strangerFactor;
+                    const auto announced = http::decimal(part.substr(3));
+                    if (announced && *announced > 0)
+                        unexpectedServer = *announced > weight * options_.strangerFactor ||
+                                           *announced < weight / options_.strangerFactor;
                 }
             }
         }
     }
     const std::lock_guard lock(listMutex_);
     const auto* entry = list_.find(endpoint);
-    // Moved meanwhile, or gone: what answered at the old address says nothing of it.
-    if (!entry || entry->endpoint.address != at) return;
-    // Whoever knows no probes tells nothing by that; what the list says has to do.
-    const bool good = (status == 200 || status == 404) && !stranger;
-    probes_.recordAnswer(endpoint, good, Steady::now());
-    (log::info() << "list: probed")
+    // The endpoint was moved or removed meanwhile, so an answer from the old address does not apply to it.
+    if (!entry || entry->endpoint.address != address) return;
+    // A server that does not support probes answers 404; the endpoint is then trusted as listed.
+    const bool accepted = (status == 200 || status == 404) && !unexpectedServer;
+    probes_.recordAnswer(endpoint, accepted, Steady::now());
+    (log::info() << "endpoint list: probe finished")
         .kv("endpoint", endpoint)
-        .kv("address", at)
+        .kv("address", address)
         .kv("status", status)
-        .kv("stranger", stranger ? "yes" : "no")
+        .kv("stranger", unexpectedServer ? "yes" : "no")
         .kv("probes", probes_.sent());
-    // What reached the partner weighs there like a call: it is taken off what calls may go. So it is in doubt
-    // before it is offered.
+    // A probe that reached the server counts against its limit like an attempt, and is taken off the attempts
+    // that may be sent. So the destination becomes unconfirmed before its endpoint is published.
     if (status > 0) {
         unconfirmed_.insert(entry->endpoint.destination);
         decisions_.updateDestinationHealth(
@@ -436,16 +442,17 @@
     }
     const auto now = recordClock_.now();
     std::vector<std::string> touched{endpoint};
-    if (good) {
+    if (accepted) {
         ++probesAnswered_;
         list_.recordAnswer(endpoint, ConfirmationSource::probe, now);
-    } else if (!stranger || !list_.refuteByAnswer(endpoint, RefutationReason::rateLimitMismatch, now)) {
+    } else if (!unexpectedServer ||
+               !list_.refuteByAnswer(endpoint, RefutationReason::rateLimitMismatch, now)) {
         return;
     }
     reassessEndpoints(touched, now);
 }
 
-// ---- writing ----
+// ---- saving ----
 
 void Roster::markUnsaved(const std::string& endpoint) {
     if (!file_) return;
@@ -454,35 +461,37 @@
     if (writeAt_ == Steady::time_point{} || at < writeAt_) writeAt_ = at;
 }
 
-/// The standings that differ from what is on disk by more than chance.
+/// The health of the destinations for which it differs from what is on disk by more than noise. From then on
+/// it counts as saved.
 std::vector<kept::DestinationHealth> Roster::changedDestinationHealth(RecordMs now) {
     std::unordered_map<std::uint64_t, kept::DestinationHealth> fresh;
-    for (const auto& s : decisions_.destinationHealth()) {
-        kept::DestinationHealth one{s.destination, s.down, 0, 0, s.rateLimit};
-        if (s.sinceRecovery) one.recoveredAt = now - s.sinceRecovery->count();
-        const auto it = savedHealth_.find(s.destination);
-        if (it != savedHealth_.end()) one.lastOutageAt = it->second.lastOutageAt;
-        if (s.down) one.lastOutageAt = now;
+    for (const auto& health : decisions_.destinationHealth()) {
+        kept::DestinationHealth current{health.destination, health.down, 0, 0, health.rateLimit};
+        if (health.sinceRecovery) current.recoveredAt = now - health.sinceRecovery->count();
+        const auto it = savedHealth_.find(health.destination);
+        if (it != savedHealth_.end()) current.lastOutageAt = it->second.lastOutageAt;
+        if (health.down) current.lastOutageAt = now;
         if (it != savedHealth_.end()) {
-            const auto& old = it->second;
-            if (std::abs(old.recoveredAt - one.recoveredAt) < kWarmUpStartTolerance.count())
-                one.recoveredAt = old.recoveredAt;
-            if (old.down && s.down && now - old.lastOutageAt < options_.outageMemory.count() / 4)
-                one.lastOutageAt = old.lastOutageAt;
-            if (std::abs(old.rateLimit - one.rateLimit) < 0.1 * old.rateLimit) one.rateLimit = old.rateLimit;
+            const auto& saved = it->second;
+            if (std::abs(saved.recoveredAt - current.recoveredAt) < kWarmUpStartTolerance.count())
+                current.recoveredAt = saved.recoveredAt;
+            if (saved.down && health.down && now - saved.lastOutageAt < options_.outageMemory.count() / 4)
+                current.lastOutageAt = saved.lastOutageAt;
+            if (std::abs(saved.rateLimit - current.rateLimit) < 0.1 * saved.rateLimit)
+                current.rateLimit = saved.rateLimit;
         }
-        fresh[s.destination] = one;
+        fresh[health.destination] = current;
     }
     std::vector<kept::DestinationHealth> changed;
-    for (const auto& [destination, one] : fresh) {
+    for (const auto& [destination, current] : fresh) {
         const auto it = savedHealth_.find(destination);
-        if (it == savedHealth_.end() || !(it->second == one)) changed.push_back(one);
+        if (it == savedHealth_.end() || !(it->second == current)) changed.push_back(current);
     }
-    for (const auto& [destination, old] : savedHealth_) {
+    for (const auto& [destination, saved] : savedHealth_) {
         if (fresh.count(destination)) continue;
-        kept::DestinationHealth over{destination, false, 0, old.lastOutageAt, old.rateLimit};
-        if (!list_.endpointsOf(destination).empty()) fresh[destination] = over;
-        if (!(over == old)) changed.push_back(over);
+        kept::DestinationHealth cleared{destination, false, 0, saved.lastOutageAt, saved.rateLimit};
+        if (!list_.endpointsOf(destination).empty()) fresh[destination] = cleared;
+        if (!(cleared == saved)) changed.push_back(cleared);
     }
     savedHealth_ = std::move(fresh);
     return changed;
@@ -491,12 +500,12 @@
 void Roster::write(RecordMs now) {
     writeAt_ = {};
     lastWriteAt_ = Steady::now();
-    if (!recordClock_.persist()) {  // its times would mean nothing to a later life
+    if (!recordClock_.persist()) {  // without it a later run could not interpret the times
         writeAt_ = Steady::now() + kWriteRetryPause;
         return;
     }
     std::string records;
-    for (const auto& s : changedDestinationHealth(now)) records += kept::encode(s);
+    for (const auto& health : changedDestinationHealth(now)) records += kept::encode(health);
     for (const auto& name : unsaved_) {
         const auto* entry = list_.find(name);
         records += entry ? kept::encode(*entry) : kept::encodeRemoval(name);
@@ -513,28 +522,28 @@
 }
 
 void Roster::rewriteFile(RecordMs now) {
-    // In the order of worth, where there is not room for all: what is in trouble, who gets most of the
-    // traffic, and who must not be called any more.
-    std::vector<const membership::Entry*> order;
-    for (const auto& entry : list_.entries()) order.push_back(entry.get());
-    std::sort(order.begin(), order.end(), [](const auto* a, const auto* b) {
+    // In the order of importance, as there may not be room for all: the health of destinations, the endpoints
+    // by their deliveries, and the tombstones from the youngest on.
+    std::vector<const membership::Entry*> entries;
+    for (const auto& entry : list_.entries()) entries.push_back(entry.get());
+    std::sort(entries.begin(), entries.end(), [](const auto* a, const auto* b) {
         if (a->isTombstone() != b->isTombstone()) return b->isTombstone();
         return a->isTombstone() ? a->refutedAt > b->refutedAt : a->deliveries > b->deliveries;
     });
     std::vector<std::string> records;
-    for (const auto& [destination, s] : savedHealth_) records.push_back(kept::encode(s));
-    for (const auto* entry : order) records.push_back(kept::encode(*entry));
-    std::size_t left = 0;
-    const auto last = kept::encodeListState(list_.index(), list_.epoch(), list_.churn(),
-                                            list_.discoveryLive() ? list_.discoverySeenAt() : 0);
-    const bool written = file_->replace(records, last, now, left);
+    for (const auto& [destination, health] : savedHealth_) records.push_back(kept::encode(health));
+    for (const auto* entry : entries) records.push_back(kept::encode(*entry));
+    std::size_t dropped = 0;
+    const auto listState = kept::encodeListState(list_.index(), list_.epoch(), list_.churn(),
+                                                 list_.discoveryLive() ? list_.discoverySeenAt() : 0);
+    const bool written = file_->replace(records, listState, now, dropped);
     if (!written) {
         rewriteNeeded_ = true;
-        writeAt_ = Steady::now() + kWriteRetryPause;  // what has drained meanwhile must not be forgotten
+        writeAt_ = Steady::now() + kWriteRetryPause;  // a drain reported meanwhile must not be lost
         return;
     }
-    if (left > 0)
-        log::warning() << "kept list: no room for " << left << " of " << records.size() << " records in "
+    if (dropped > 0)
+        log::warning() << "kept list: no room for " << dropped << " of " << records.size() << " records in "
                        << file_->bytes() << " bytes; raise kept-list.disk-share";
     rewriteNeeded_ = false;
 }
@@ -558,9 +567,9 @@
             if (file_ && (mark || (writeAt_ != Steady::time_point{} && now >= writeAt_)))
                 write(recordClock_.now());
             if (!awaitingProbe_.empty()) {
-                const auto waiting = probeCandidates();
-                probes_.retain(waiting);
-                const auto probe = probes_.next(waiting, now);
+                const auto candidates = probeCandidates();
+                probes_.retain(candidates);
+                const auto probe = probes_.next(candidates, now);
                 target = probe.endpoint;
                 if (probe.checkAgainAt) next = std::min(next, *probe.checkAgainAt);
             }
@@ -573,43 +582,42 @@
             probeEndpoint(*target);
             continue;
         }
-        std::unordered_map<std::string, EndpointOutcomes> word;
+        std::unordered_map<std::string, EndpointOutcomes> outcomes;
         {
             std::unique_lock lock(outcomesMutex_);
             if (next == Steady::time_point::max()) next = Steady::now() + std::chrono::hours(1);
             wake_.wait_until(lock, stopped, next, [&] { return urgent_ || !outcomes_.empty(); });
-            // Word of deliveries may gather for a moment; what is urgent or due may not.
+            // Deliveries are collected for a while; urgent outcomes and due work are not delayed.
             if (!urgent_ && !outcomes_.empty())
                 wake_.wait_until(lock, stopped, std::min(next, Steady::now() + kOutcomeBatchTime),
                                  [&] { return urgent_; });
             urgent_ = false;
-            word.swap(outcomes_);
+            outcomes.swap(outcomes_);
         }
-        if (word.empty()) continue;
+        if (outcomes.empty()) continue;
         const std::lock_guard lock(listMutex_);
-        applyOutcomes(std::move(word));
-        if (file_ &&
-            writeAt_ == Steady::time_point{})  // what the module has learnt meanwhile is worth a look
+        applyOutcomes(std::move(outcomes));
+        if (file_ && writeAt_ == Steady::time_point{})  // the health of destinations may have changed
             writeAt_ = std::max(Steady::now(), lastWriteAt_ + options_.writeEvery);
     }
 }
 
 Roster::Counts Roster::counts() const {
     const std::lock_guard lock(listMutex_);
-    Counts found;
+    Counts counts;
     for (const auto& entry : list_.entries()) {
         switch (entry->trustLevel) {
-            case TrustLevel::confirmed: ++found.confirmed; break;
-            case TrustLevel::ageing: ++found.ageing; break;
-            case TrustLevel::stale: ++found.stale; break;
-            case TrustLevel::refuted: ++found.refuted; break;
+            case TrustLevel::confirmed: ++counts.confirmed; break;
+            case TrustLevel::ageing: ++counts.ageing; break;
+            case TrustLevel::stale: ++counts.stale; break;
+            case TrustLevel::refuted: ++counts.refuted; break;
         }
     }
-    found.probes = probes_.sent();
-    found.probesAnswered = probesAnswered_;
-    found.writes = writes_;
-    found.live = list_.discoveryLive();
-    return found;
+    counts.probes = probes_.sent();
+    counts.probesAnswered = probesAnswered_;
+    counts.writes = writes_;
+    counts.live = list_.discoveryLive();
+    return counts;
 }
 
 }  // namespace laurelhaven::roster
--- a/src/roster/roster.hpp
+++ b/src/roster/roster.hpp
@@ -1,7 +1,7 @@
-// The one owner of the list of endpoints while the sender runs. It loads the kept list, merges what discovery
-// says, judges how far each entry may be believed, offers to the facade what may be sent to, probes what only
-// a probe can confirm, and writes the list back at a bounded rate. One thread; the rules are in `membership`
-// and `trust`.
+// Owns the list of endpoints while the sender runs. It loads the saved endpoint list, merges the updates of
+// discovery, assesses how far each entry can be trusted, publishes the endpoints that may be used to the
+// decisions facade, probes those that only a probe can confirm, and saves the list at a bounded rate. The
+// rules are in `membership` and `trust`; this module adds the I/O, one thread and the locks.
 #pragma once
 
 #include <condition_variable>
@@ -26,52 +26,61 @@
 
 using std::chrono::milliseconds;
 
+/// The settings sections "kept-list" and "probes", and those of the modules below.
 struct Options {
-    bool saveList = true;            ///< a list is kept on disk
-    double diskShare = 0.06;         ///< of the state folder's bytes, both copies counted
-    milliseconds writeEvery{1'000};  ///< at most one write in this time
-    milliseconds confirmEvery{
-        10'000};  ///< how often discovery's silence that nothing changed is written down
-    milliseconds outageMemory{300'000};  ///< a partner seen down longer ago is only in doubt
-    bool probesEnabled = true;           ///< where the platform permits it
+    bool saveList = true;                ///< the list is saved on disk
+    double diskShare = 0.06;             ///< of the state folder's bytes, for the file and its replacement
+    milliseconds writeEvery{1'000};      ///< at most one write in this time, unless an endpoint ends
+    milliseconds confirmEvery{10'000};   ///< how often it is saved that discovery still confirms the list
+    milliseconds outageMemory{300'000};  ///< after a restart, older outages count as unconfirmed only
+    bool probesEnabled = true;           ///< probes are sent, provided that the platform permits them
     milliseconds probeTimeout{400};
-    double strangerFactor = 2;  ///< a limit told by a probe, off by more, is another partner's
+    /// A probe that announces a rate limit off by more than this factor reached another destination's server.
+    double strangerFactor = 2;
     membership::Policy membership;
     trust::ProbePolicy probes;
 };
 
+/// Thread-safe. Calls the facade with its own lock held, so the facade must not call back except through
+/// attemptFinished() and endpointNeeded().
 class Roster {
   public:
     Roster(const config::Config& config, const Options& options, decisions::Decisions& decisions,
            clock::RecordClock& recordClock = clock::processClock());
     ~Roster() { stop(); }
 
-    /// Reads the kept list and offers what it and the configuration give. Before anything else.
+    /// Loads the saved list, merges the configured one and publishes the result. Must be called first.
     void begin();
-    /// Up to when the kept list knew of outages: what was seen later is not in it. 0 without a list.
+    /// The time up to which the saved list holds the outages that were seen; 0 without a list.
     trust::RecordMs healthKnownUntil() const { return healthKnownUntil_; }
     void start();
-    /// Writes what is not yet written.
+    /// Stops the thread and writes what is not saved yet.
     void stop();
-    /// Tries once more to write what stop() could not. True when nothing is left to write.
+    /// Tries again to write what stop() could not. True when nothing is left to write.
     bool flush();
 
-    // -- from the watch --
+    // -- called by the watch on discovery --
+    /// Merges a full list or changes that came over the stream.
     membership::ListUpdateResult applyUpdate(const listing::EndpointList& list);
-    /// A whole list that was asked for when the index was `asked`. One that is older than what came meanwhile
-    /// is passed over.
-    membership::ListUpdateResult applyFetchedList(const listing::EndpointList& list, std::uint64_t asked);
-    /// A line without news came.
+    /// Merges a full list that was requested when the index was `requestedAfter`. Ignores it if it is older
+    /// than what came over the stream meanwhile.
+    membership::ListUpdateResult applyFetchedList(const listing::EndpointList& list,
+                                                  std::uint64_t requestedAfter);
+    /// An empty line came: discovery is reachable and nothing changed.
     void heartbeat();
-    /// The stream was confirmed to count as we do, or ended.
+    /// The stream is known to use the same numbering as the list.
     void streamVerified();
+    /// The stream ended. From now on entries age.
     void streamLost();
+    /// The index of the list, in discovery's numbering.
     std::uint64_t index() const;
 
-    // -- from the facade, under its lock: these only leave word --
-    void attemptFinished(const decisions::DueAttempt& call, const decisions::AttemptResult& result);
+    // -- called by the facade with its lock held: these only queue work for the thread --
+    void attemptFinished(const decisions::DueAttempt& attempt, const decisions::AttemptResult& result);
+    /// A message came for a destination without a usable endpoint, so a probe may be due now.
     void endpointNeeded(std::uint64_t destination);
 
+    /// The number of entries of each trust level, and what was done for them.
     struct Counts {
         std::size_t confirmed = 0, ageing = 0, stale = 0, refuted = 0;
         std::uint64_t probes = 0, probesAnswered = 0, writes = 0;
@@ -80,7 +89,7 @@
     Counts counts() const;
 
   private:
-    struct EndpointOutcomes {  // what came in about one endpoint, at one address
+    struct EndpointOutcomes {  // of the attempts at one endpoint, at one address
         std::string address;
         double delivered = 0;
         bool unexpectedServer = false;
@@ -90,17 +99,17 @@
     membership::ListUpdateResult merge(const listing::EndpointList& list);
     void run();
     void loadSavedList(trust::RecordMs now);
-    void reassess(membership::Entry& entry, trust::RecordMs now, std::vector<listing::Endpoint>& news);
+    void reassess(membership::Entry& entry, trust::RecordMs now, std::vector<listing::Endpoint>& changes);
     void reassessAll(trust::RecordMs now);
     void reassessEndpoints(const std::vector<std::string>& endpoints, trust::RecordMs now);
-    void publish(const std::unordered_set<std::uint64_t>& destinations, std::vector<listing::Endpoint> news,
-                 bool saved = false);
+    void publish(const std::unordered_set<std::uint64_t>& destinations,
+                 std::vector<listing::Endpoint> changes, bool saved = false);
     void updateUnconfirmed(const std::unordered_set<std::uint64_t>& destinations,
-                           std::vector<decisions::DestinationHealth>& told);
-    void applyOutcomes(std::unordered_map<std::string, EndpointOutcomes> word);
+                           std::vector<decisions::DestinationHealth>& changes);
+    void applyOutcomes(std::unordered_map<std::string, EndpointOutcomes> outcomes);
     std::vector<trust::ProbeCandidate> probeCandidates() const;
     void probeEndpoint(const std::string& endpoint);
-    bool probeStillAllowed(const std::string& endpoint, const std::string& at) const;
+    bool probeStillAllowed(const std::string& endpoint, const std::string& address) const;
     void markUnsaved(const std::string& endpoint);
     void write(trust::RecordMs now);
     std::vector<kept::DestinationHealth> changedDestinationHealth(trust::RecordMs now);
@@ -111,13 +120,13 @@
     decisions::Decisions& decisions_;
     clock::RecordClock& recordClock_;
 
-    mutable std::mutex listMutex_;  // the list; held while the facade is told, never the other way round
+    mutable std::mutex listMutex_;  // guards the list; taken before the facade's lock, never after it
     membership::Membership list_;
     std::unique_ptr<kept::SavedEndpointListFile> file_;
     trust::ProbeScheduler probes_;
     std::unordered_set<std::string> awaitingProbe_, unsaved_;
     std::unordered_set<std::uint64_t> unconfirmed_;
-    std::unordered_map<std::uint64_t, kept::DestinationHealth> savedHealth_;  // as written
+    std::unordered_map<std::uint64_t, kept::DestinationHealth> savedHealth_;  // as on disk
     trust::RecordMs healthKnownUntil_ = 0;
     bool longAbsence_ = false, begun_ = false, rewriteNeeded_ = true;
     Steady::time_point reassessAt_{}, writeAt_{}, nextMarkAt_{}, lastWriteAt_{};
--- a/tests/roster/drain_memory_test.cpp
+++ b/tests/roster/drain_memory_test.cpp
@@ -1,5 +1,5 @@
-// What discovery has told is remembered from that moment on: a process that is killed right behind it comes
-// back without discovery, and still knows.
+// A drain that discovery has reported survives a kill right after it, also if discovery is down at the
+// restart.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -22,7 +22,7 @@
 }
 
 config::Config configFor(const std::string& state) {
-    // The list that the sender was configured with, long ago.
+    // An old configured list, in which both endpoints still serve.
     const auto known = check::entry("a", "127.0.0.1:1007", 7) + "," + check::entry("b", "127.0.0.1:1008", 8);
     return config::fromText(check::configuration("127.0.0.1:0", "127.0.0.1:1", known, check::settings()),
                             {{"BALANCER_STATE", state}});
@@ -41,7 +41,7 @@
 
 class DrainMemory : public testing::TestWithParam<listing::Status> {};
 
-TEST_P(DrainMemory, ADrainIsOnDiskOnceItHasBeenHeard) {
+TEST_P(DrainMemory, AReportedEndIsOnDiskWhenTheUpdateReturns) {
     log::setLevel(log::Level::off);
     const check::Folder folder, left;
     check::NoStore store;
@@ -53,7 +53,7 @@
         {10, true, {endpoint("a", 7, listing::Status::serving), endpoint("b", 8, listing::Status::serving)}});
     roster.streamVerified();
     roster.applyUpdate({11, false, {endpoint("a", 7, GetParam())}});
-    // What lies on disk at this moment is all that a kill leaves.
+    // A kill at this point leaves what is on disk now.
     std::filesystem::copy(folder.path, left.path, std::filesystem::copy_options::recursive);
 
     const auto configAfter = configFor(left.path);
@@ -62,19 +62,19 @@
     rosterAfter.begin();
     facadeAfter.submit(messageFor(7));
     ASSERT_EQ(facadeAfter.submit(messageFor(8)).kind, decisions::SubmissionResult::Kind::accepted);
-    // Both are in doubt at first, so the call may be due a little later.
+    // Both destinations are unconfirmed at first, so the attempt may be due a little later.
     threads::Thread ticker("tick", [&] {
         while (facadeAfter.tick()) {
         }
     });
-    std::set<std::string> called;
-    while (!called.count("b")) called.insert(facadeAfter.takeDueAttempt()->endpoint);
-    EXPECT_EQ(called, std::set<std::string>{"b"}) << "a call for the endpoint that has gone is due";
+    std::set<std::string> attempted;
+    while (!attempted.count("b")) attempted.insert(facadeAfter.takeDueAttempt()->endpoint);
+    EXPECT_EQ(attempted, std::set<std::string>{"b"}) << "an attempt is due at the endpoint that ended";
     facadeAfter.stop();
     facade.stop();
 }
 
-/// A roster that writes seldom, unless a write fails.
+/// A roster that writes rarely, so that only the retry after a failed write is soon.
 class DrainMemoryOnAFailingDisk : public testing::Test {
   protected:
     DrainMemoryOnAFailingDisk() {
@@ -97,8 +97,8 @@
     roster::Roster roster_{config_, options(), facade_};
 };
 
-// A write that fails is repeated at once, not when the next one is due.
-TEST_F(DrainMemoryOnAFailingDisk, ADrainIsOnDiskSoonAfterWritesSucceed) {
+// A failed write is repeated at once, not when the next regular one is due.
+TEST_F(DrainMemoryOnAFailingDisk, AFailedWriteIsRepeatedSoon) {
     faults::writeFailure.arm(ENOSPC);
     roster_.applyUpdate({10, true, {endpoint("b", 8, listing::Status::serving)}});
     EXPECT_FALSE(written());
@@ -109,25 +109,27 @@
     EXPECT_TRUE(written());
 }
 
-// Word of deliveries gathers for a moment before it is taken in; a write that is due does not wait for that.
-TEST_F(DrainMemoryOnAFailingDisk, ADrainIsOnDiskSoonThoughWordOfDeliveriesGathers) {
+// The thread collects deliveries for up to a second before it applies them. A write that is due must not wait
+// for that.
+TEST_F(DrainMemoryOnAFailingDisk, AFailedWriteIsRepeatedSoonWhileDeliveriesAreCollected) {
     const auto serving = endpoint("b", 8, listing::Status::serving);
     faults::writeFailure.arm(ENOSPC);
     roster_.applyUpdate({10, true, {serving}});
     ASSERT_FALSE(written());
-    decisions::DueAttempt call;
-    call.endpoint = serving.name;
-    call.address = serving.address;
+    decisions::DueAttempt attempt;
+    attempt.endpoint = serving.name;
+    attempt.address = serving.address;
     decisions::AttemptResult delivered;
     delivered.status = decisions::AttemptStatus::delivered;
-    roster_.attemptFinished(call, delivered);
+    roster_.attemptFinished(attempt, delivered);
     const auto begun = decisions::Steady::now();
-    std::this_thread::sleep_for(std::chrono::milliseconds(20));  // its thread has begun to gather by then
+    std::this_thread::sleep_for(std::chrono::milliseconds(20));  // by then the thread collects
     faults::writeFailure.disarm();
     while (!written() && decisions::Steady::now() < begun + std::chrono::seconds(10))
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
     EXPECT_TRUE(written());
-    EXPECT_LT(decisions::Steady::now() - begun, std::chrono::milliseconds(700)) << "it waited for the word";
+    EXPECT_LT(decisions::Steady::now() - begun, std::chrono::milliseconds(700))
+        << "the write waited for the deliveries";
 }
 
 INSTANTIATE_TEST_SUITE_P(Kinds, DrainMemory,
--- a/tests/roster/roster_test.cpp
+++ b/tests/roster/roster_test.cpp
@@ -1,4 +1,4 @@
-// The owner of the list, with the facade behind it: what the two know of endpoints stays in step.
+// The roster together with the decisions facade: what both hold about endpoints stays consistent.
 #include "roster/roster.hpp"
 
 #include <gtest/gtest.h>
@@ -18,11 +18,11 @@
     return {name, "127.0.0.1:" + std::to_string(1000 + i), "z", "big", 7, status, 4, 0};
 }
 
-/// A facade, and what a roster before it wants.
+/// Provides a facade, and what a roster in front of it needs.
 class Roster : public testing::Test {
   protected:
     Roster() { log::setLevel(log::Level::off); }
-    /// Nothing is kept, and nothing probed: the roster knows what it is told.
+    /// Without a saved list and without probes, so that a roster knows only what the test tells it.
     static roster::Options seenOnly() {
         roster::Options options;
         options.saveList = options.probesEnabled = false;
@@ -37,9 +37,9 @@
     decisions::Decisions facade_{config_, store_, {}};
 };
 
-// Danger: where fleets drain endpoints and never delete them, each would stay in the facade's tables for
-// good.
-TEST_F(Roster, WhatDrainedAndWasNeverDeletedLeavesTheFacadeWithItsTombstone) {
+// Some fleets drain endpoints and never delete them. Unless the facade drops an endpoint together with its
+// tombstone, its tables grow without bound.
+TEST_F(Roster, ADrainedEndpointLeavesTheFacadeWithItsTombstone) {
     auto options = seenOnly();
     options.membership.tombstones = 2;
     roster::Roster roster(config_, options, facade_);
@@ -61,28 +61,28 @@
     EXPECT_EQ(facade_.tableSizes().destinations, 1u);
 }
 
-// Danger: a call may be out while the list moves its endpoint. Whoever answers like a stranger at the old
-// address is one; the endpoint at its new address is not.
-TEST_F(Roster, AnAnswerFromAnEndpointsOldAddressSaysNothingOfItsNewOne) {
+// An attempt may be in flight while the list moves its endpoint to another address. If an unexpected server
+// answers at the old address, the endpoint at its new address must not be refuted.
+TEST_F(Roster, AnAnswerFromTheOldAddressDoesNotRefuteAMovedEndpoint) {
     const auto options = seenOnly();
     roster::Roster roster(config_, options, facade_);
     roster.begin();
     roster.start();
     const auto serving = listing::Status::serving;
-    roster.applyUpdate({10, true, {endpoint("moved", 1, serving), endpoint("stranger", 2, serving)}});
+    roster.applyUpdate({10, true, {endpoint("moved", 1, serving), endpoint("replaced", 2, serving)}});
     roster.applyUpdate({11, false, {endpoint("moved", 3, serving)}});
-    roster.streamLost();  // while discovery vouches for an endpoint, no answer says otherwise
-    const auto answersLikeAStranger = [&](const listing::Endpoint& at) {
-        decisions::DueAttempt call;
-        call.endpoint = at.name;
-        call.address = at.address;
+    roster.streamLost();  // while discovery lists an endpoint, no answer can refute it
+    const auto reportUnexpectedServer = [&](const listing::Endpoint& at) {
+        decisions::DueAttempt attempt;
+        attempt.endpoint = at.name;
+        attempt.address = at.address;
         decisions::AttemptResult result;
         result.status = decisions::AttemptStatus::error;
         result.unexpectedServer = true;
-        roster.attemptFinished(call, result);
+        roster.attemptFinished(attempt, result);
     };
-    answersLikeAStranger(endpoint("moved", 1, serving));
-    answersLikeAStranger(endpoint("stranger", 2, serving));  // behind the other: both are weighed then
+    reportUnexpectedServer(endpoint("moved", 1, serving));
+    reportUnexpectedServer(endpoint("replaced", 2, serving));  // applied after the other, or with it
     for (const auto until = decisions::Steady::now() + std::chrono::seconds(30);
          roster.counts().refuted == 0 && decisions::Steady::now() < until;)
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
