--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -9,9 +9,9 @@
     return {address_, moved_.get_token()};
 }
 
-// Danger: a watch on the old address may stay open and silent for seconds, and notices would wait for answers
-// there. Whoever is connected is told by the token; it runs outside the lock, since those told ask for the
-// new place at once.
+// A watch on the old address could stay open and silent for seconds, and notices would wait for answers
+// there. So the stop token tells the clients that are connected. Stop is requested outside the lock, because
+// their callbacks ask for the new location at once.
 bool Discovery::moveTo(const net::Address& to) {
     std::stop_source old;
     {
--- a/src/discovery/discovery.hpp
+++ b/src/discovery/discovery.hpp
@@ -1,5 +1,5 @@
-// Where discovery is just now. One owner of the address, for all that speak with it: the watch and the
-// notices.
+// Holds the current address of discovery for its clients, the watch and the notices, and tells them when it
+// changes.
 #pragma once
 
 #include <mutex>
@@ -9,17 +9,18 @@
 
 namespace laurelhaven::discovery {
 
-/// One address, for as long as it holds.
+/// An address, and whether it is still the current one.
 struct Location {
     net::Address address;
-    std::stop_token moved;  ///< requested once discovery is elsewhere: what is open there is of no more use
+    std::stop_token moved;  ///< stop is requested when discovery moves; connections to the address end then
 };
 
+/// Thread-safe.
 class Discovery {
   public:
     explicit Discovery(net::Address at) : address_(std::move(at)) {}
     Location location() const;
-    /// Breaks what goes on at the old address. False where it is the same one.
+    /// Changes the address, and ends the connections to the old one. False if the address is the same.
     bool moveTo(const net::Address& to);
 
   private:
