--- a/src/registry/registry.hpp
+++ b/src/registry/registry.hpp
@@ -1,5 +1,9 @@
-// The watch on discovery's list of endpoints: one thread that reads the stream, and connects again when it
-// ends.
+// The watch on discovery's list of endpoints: a thread that reads the stream of updates, passes them to the
+// roster, and connects again when the stream ends.
+//
+// A sender is held to the updates that discovery published whether or not it has read them: to a drain after
+// the drain grace, and to any update at the latest 6 s after discovery could be reached. From then on the
+// update is binding.
 #pragma once
 
 #include <chrono>
@@ -20,65 +24,69 @@
 
 namespace laurelhaven::registry {
 
-/// The lists of a stream, one JSON object each, in one line or indented over several; empty lines between
-/// them say only that it lives. Pure: bytes in, lists out.
+/// Splits a stream into endpoint lists. Each is one JSON object, on one line or indented over several. Empty
+/// lines between them are heartbeats. No I/O; not thread-safe.
 class ListStreamParser {
   public:
-    explicit ListStreamParser(std::size_t longest = 1 << 20) : maxBytes_(longest) {}
-    /// Calls `news` for each list, and `beat` for each empty line. What can't be read is logged and skipped.
-    /// True where any of these ended: bytes that end nothing are no sign of life.
-    bool feed(std::string_view bytes, const std::function<void(const listing::EndpointList&)>& news,
-              const std::function<void()>& beat = {});
-    /// Something was skipped: only the whole list makes it good.
+    explicit ListStreamParser(std::size_t maxBytes = 1 << 20) : maxBytes_(maxBytes) {}
+    /// Calls `onList` for each list, and `onHeartbeat` for each empty line. Logs and skips unreadable input.
+    /// True if a list, a heartbeat or unreadable input ended in these bytes; other bytes do not show that
+    /// discovery still works.
+    bool feed(std::string_view bytes, const std::function<void(const listing::EndpointList&)>& onList,
+              const std::function<void()>& onHeartbeat = {});
+    /// True if input was skipped and no full list came since, so that changes may be missing.
     bool hasGap() const { return gap_; }
 
   private:
     bool startsNewObject(std::string_view line) const;
     void scanLine(std::string_view line);
-    void parseObject(std::string_view text, const std::function<void(const listing::EndpointList&)>& news);
-    void skip(const std::string& why);
+    void parseObject(std::string_view text, const std::function<void(const listing::EndpointList&)>& onList);
+    void skip(const std::string& error);
 
     std::size_t maxBytes_;
     bool gap_ = false;
-    std::string buffer_;         // what has begun and not ended
-    std::size_t lineStart_ = 0;  // where in it the last line begins
-    int depth_ = 0;              // brackets open up to there
-    bool inString_ = false;      // the line ended inside a text
-    char lastNonBlank_ = 0;      // the last sign before it that is no blank
+    std::string buffer_;         // an object that is not complete yet
+    std::size_t lineStart_ = 0;  // offset in buffer_ at which the last line begins
+    int depth_ = 0;              // open brackets before lineStart_
+    bool inString_ = false;      // the last line ended inside a string
+    char lastNonBlank_ = 0;      // last character before it that is not blank
 };
 
+/// The settings section "discovery"; the last two come from the platform.
 struct Options {
-    std::size_t longestLine = 1000000;           ///< bytes of one line of the stream, or of a whole list
-    std::chrono::milliseconds pauseLeast{50};    ///< before the address is tried again
-    std::chrono::milliseconds pauseMost{1'000};  ///< and at most, where discovery refuses nothing
-    double fleetRate = 20;                       ///< times a second that all senders together ask, about
-    int senders = 1;                             ///< that ask the same discovery; the platform tells
-    std::chrono::milliseconds drainGrace{250};   ///< after which what was told holds; the platform tells
+    std::size_t longestLine = 1000000;           ///< maximum bytes of one object of the stream
+    std::chrono::milliseconds pauseLeast{50};    ///< minimum pause before a reconnect
+    std::chrono::milliseconds pauseMost{1'000};  ///< maximum pause, unless discovery refuses requests
+    double fleetRate = 20;                       ///< target requests per second of all senders together
+    int senders = 1;                             ///< senders that use the same discovery
+    std::chrono::milliseconds drainGrace{250};   ///< after which a reported drain is binding
 };
 
-/// What became of one watch.
+/// How one watch ended. The order is that of the metric's labels.
 enum class WatchResult {
-    useful,   ///< a line came that counts as we do
-    refused,  ///< discovery answered that it won't
-    silent,   ///< it says nothing any more, or never did
-    failed    ///< it could not be reached, or said nothing of use
+    useful,   ///< a list or heartbeat came, in the numbering of the known list
+    refused,  ///< discovery answered with an error status
+    silent,   ///< the stream stayed open, but nothing came in time
+    failed    ///< discovery could not be reached, or sent nothing usable
 };
 
-/// How the last call for the list went.
+/// How the last request for the list went.
 struct LastRequest {
-    int failures = 0;      ///< on end, this one counted
-    bool refused = false;  ///< it was refused, rather than not answered
+    int failures = 0;      ///< in a row, up to and including this request
+    bool refused = false;  ///< discovery answered with an error status
     std::chrono::milliseconds duration{};
 };
 
-/// How long to wait before discovery is asked again: some part of a span, by `chance` in [0, 1) (full jitter:
-/// M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015). The span begins short, within
-/// three fifths of the drain grace, as what discovery tells counts whether or not a watch is open, and
-/// doubles with each failure. After refusals it begins with one in which all senders ask once at `fleetRate`,
-/// since they mostly lose discovery in the same moment. From the beginning of one call to that of the next it
-/// is never longer than news may go unheard, in a fleet of any size.
+/// How long to wait before discovery is asked again. The pause is drawn from a span by `chance` in [0, 1)
+/// (full jitter: M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015). The first span
+/// lies within three fifths of the drain grace, because updates of discovery are binding whether or not a
+/// watch is open. It doubles with each failure. After refusals it starts at the time in which all senders ask
+/// once at `fleetRate`, since they usually lose discovery at the same time. From the start of one request to
+/// the start of the next it never exceeds the time for which an update may go unnoticed, however large the
+/// fleet is.
 std::chrono::milliseconds reconnectPause(const Options& options, const LastRequest& last, double chance);
 
+/// Keeps the roster up to date with discovery. start() and stop() must be called from the same thread.
 class DiscoveryWatch {
   public:
     DiscoveryWatch(const discovery::Discovery& discovery, roster::Roster& roster, const Options& options,
@@ -90,12 +98,12 @@
 
   private:
     void run();
-    /// False once stopped. True at the pause's end, or once discovery is elsewhere.
+    /// Waits for the pause, or until discovery moves. False once stopped.
     bool waitBeforeConnect(std::chrono::milliseconds pause, const discovery::Location& location);
     std::chrono::milliseconds drawPause(const LastRequest& last);
-    /// One connection, until it ends.
+    /// Opens one watch, and reads it until it ends.
     WatchResult watchOnce(const discovery::Location& location, std::stop_token stopped);
-    /// Asks for the whole list, on a connection of its own. What became of it; nothing where none came.
+    /// Fetches the full list on a separate connection. Returns how it was merged, or no value if none came.
     std::optional<membership::ListUpdateResult::Kind> fetchFullList(const discovery::Location& location,
                                                                     std::stop_token stopped);
 
--- a/tests/registry/no_thread_test.cpp
+++ b/tests/registry/no_thread_test.cpp
@@ -1,4 +1,4 @@
-// A machine that has no thread to give just when the whole list is to be asked for beside a watch.
+// The thread that fetches the full list beside a watch can't be created.
 #include <dlfcn.h>
 #include <gtest/gtest.h>
 #include <pthread.h>
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Of the threads to come: so many are made, and then so many are not.
+/// Of the next threads, the first `threadsToMake` are created, and the `threadsToFail` after them are not.
 std::atomic<int> threadsToMake{0}, threadsToFail{0}, failed{0};
 
 }  // namespace
 
-// In place of the C library's, for this program alone. Only the sender's own threads have attributes.
+// Replaces the C library's function in this program. Only the sender's own threads have attributes.
 extern "C" int pthread_create(pthread_t* thread, const pthread_attr_t* attributes, void* (*start)(void*),
                               void* argument) noexcept {
     using Create = int (*)(pthread_t*, const pthread_attr_t*, void* (*)(void*), void*);
@@ -38,9 +38,9 @@
 using namespace laurelhaven;
 using namespace check;
 
-// The watch has nothing new to say, so only the whole list can tell whether its numbering is ours. Without a
-// thread for that the watch ends, and the next one asks.
-TEST(NoThread, ForTheWholeListEndsNothing) {
+// The watch reports no changes, so only the full list shows whether discovery still uses the known numbering.
+// Without a thread to fetch it, the watch must end, and the next one must fetch the list.
+TEST(NoThread, TheNextWatchFetchesTheFullList) {
     log::setLevel(log::Level::off);
     std::atomic<int> watches{0}, lists{0};
     Stub discoveryStub([&](http::Message& m) {
@@ -59,14 +59,14 @@
     options.saveList = options.probesEnabled = false;
     roster::Roster roster(config, options, facade);
     roster.begin();
-    const discovery::Discovery place(config.discovery);
-    registry::DiscoveryWatch registry(place, roster, {}, 1);
-    threadsToMake = 1;  // the watch's own
+    const discovery::Discovery discovery(config.discovery);
+    registry::DiscoveryWatch watch(discovery, roster, {}, 1);
+    threadsToMake = 1;  // the thread of the watch
     threadsToFail = 1;
-    registry.start();
+    watch.start();
     await([&] { return failed == 1 && lists > 0; });
     EXPECT_GE(watches, 2);
-    registry.stop();
+    watch.stop();
     facade.stop();
 }
 
--- a/tests/registry/registry_test.cpp
+++ b/tests/registry/registry_test.cpp
@@ -1,5 +1,5 @@
-// The watch's pauses: one sender's, and what those of a whole fleet add up to at a discovery that can answer
-// only so many calls. In virtual time, from fixed seeds.
+// The pauses between requests to discovery: those of one sender, and the load of a whole fleet on a discovery
+// with limited capacity. Virtual time and fixed seeds.
 #include "registry/registry.hpp"
 
 #include <gtest/gtest.h>
@@ -18,20 +18,20 @@
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
 
-Options options(int senders) {
+Options optionsFor(int senders) {
     Options o;
     o.senders = senders;
     return o;
 }
 
-/// A discovery that works off one call after another, and refuses what waits too long or finds no room. A
-/// call that waited in vain has taken its time all the same.
-class Overbooked {
+/// A discovery that handles one request after another. It refuses requests that wait too long or find the
+/// queue full. A request that times out in the queue still takes its share of the capacity.
+class LimitedDiscovery {
   public:
-    static constexpr milliseconds kUsual{58}, kPatience{2000};
-    static constexpr std::size_t kRoom = 60;
+    static constexpr milliseconds kUsualServiceTime{58}, kQueueTimeout{2000};
+    static constexpr std::size_t kQueueLength = 60;
 
-    explicit Overbooked(milliseconds takes) : takes_(takes) {}
+    explicit LimitedDiscovery(milliseconds serviceTime) : serviceTime_(serviceTime) {}
 
     struct Answer {
         milliseconds at;
@@ -39,31 +39,31 @@
     };
     Answer ask(milliseconds now) {
         std::erase_if(waiting_, [&](milliseconds done) { return done <= now; });
-        if (waiting_.size() >= kRoom) {
-            free_ = std::max(free_, now) + takes_ / 2;  // to refuse is work, too
+        if (waiting_.size() >= kQueueLength) {
+            free_ = std::max(free_, now) + serviceTime_ / 2;  // a refusal takes time, too
             return {now, true};
         }
-        free_ = std::max(free_, now) + takes_;
+        free_ = std::max(free_, now) + serviceTime_;
         waiting_.push_back(free_);
-        if (free_ > now + kPatience) return {now + kPatience, true};
+        if (free_ > now + kQueueTimeout) return {now + kQueueTimeout, true};
         return {free_, false};
     }
 
   private:
-    milliseconds takes_, free_{};
+    milliseconds serviceTime_, free_{};
     std::deque<milliseconds> waiting_;
 };
 
 struct Outcome {
-    int calls = 0, refused = 0, heard = 0;
-    milliseconds last{};     ///< when the last of them heard
-    int busiest = 0;         ///< calls in any one second
-    milliseconds longest{};  ///< from a refused call to the next of the same sender
+    int requests = 0, refused = 0, answered = 0;
+    milliseconds last{};     ///< when the last sender was answered
+    int busiest = 0;         ///< most requests within one second
+    milliseconds longest{};  ///< from a refused request to the next one of the same sender
 };
 
-/// All of `senders` lose their streams at 0; each believes in a fleet as `told` has it.
-Outcome loseAll(int senders, const Options& told, milliseconds until,
-                milliseconds takes = Overbooked::kUsual) {
+/// All `senders` lose their streams at time 0. Each uses `options`, which may assume a fleet of another size.
+Outcome loseAll(int senders, const Options& options, milliseconds until,
+                milliseconds serviceTime = LimitedDiscovery::kUsualServiceTime) {
     struct Due {
         milliseconds at;
         int failures;
@@ -71,24 +71,24 @@
     };
     std::mt19937_64 chance(7);
     const auto draw = [&](int failures, milliseconds took) {
-        return reconnectPause(told, {failures, failures > 0, took},
+        return reconnectPause(options, {failures, failures > 0, took},
                               std::uniform_real_distribution<double>(0, 1)(chance));
     };
     std::priority_queue<Due> queue;
     for (int s = 0; s < senders; ++s) queue.push({draw(0, {}), 0});
-    Overbooked discovery(takes);
+    LimitedDiscovery discovery(serviceTime);
     Outcome outcome;
     std::deque<milliseconds> recent;
     for (; !queue.empty() && queue.top().at <= until;) {
         const auto due = queue.top();
         queue.pop();
-        ++outcome.calls;
+        ++outcome.requests;
         recent.push_back(due.at);
         while (recent.front() <= due.at - 1s) recent.pop_front();
         outcome.busiest = std::max(outcome.busiest, static_cast<int>(recent.size()));
         const auto answer = discovery.ask(due.at);
         if (!answer.refused) {
-            ++outcome.heard;
+            ++outcome.answered;
             outcome.last = std::max(outcome.last, answer.at);
             continue;
         }
@@ -100,66 +100,68 @@
     return outcome;
 }
 
-// Danger: hundreds of senders whose streams break in one moment, each calling again within 50 ms and once a
-// second after, kept discovery from answering any of them for the rest of the day.
+// Hundreds of senders whose streams broke at the same time, and which each asked again within 50 ms and then
+// once a second, kept discovery overloaded: it answered none of them for the rest of the day.
 TEST(RegistryFleet, AFleetThatLostDiscoveryAtOnceIsAnswered) {
     for (const int senders : {1, 2, 8, 30, 100}) {
-        const auto seen = loseAll(senders, options(senders), 30s);
-        EXPECT_EQ(seen.heard, senders);
-        // All ask once at once, as what discovery tells counts from then on; who is refused waits for long.
-        EXPECT_LE(seen.last, senders <= 8 ? 1500ms : 30000ms) << senders;
-        // Whoever is refused asks every few seconds all the same, as what is told counts.
-        EXPECT_LE(seen.calls, senders <= 30 ? 2 * senders : 6 * senders) << senders;
-        EXPECT_LE(seen.longest, 4500ms) << senders;
-        EXPECT_LE(seen.busiest, senders + senders / 2) << senders;
+        const auto outcome = loseAll(senders, optionsFor(senders), 30s);
+        EXPECT_EQ(outcome.answered, senders);
+        // All ask once at the start, because updates are binding from then on. Refused senders wait longer.
+        EXPECT_LE(outcome.last, senders <= 8 ? 1500ms : 30000ms) << senders;
+        // Refused senders still ask every few seconds, because updates are binding for them, too.
+        EXPECT_LE(outcome.requests, senders <= 30 ? 2 * senders : 6 * senders) << senders;
+        EXPECT_LE(outcome.longest, 4500ms) << senders;
+        EXPECT_LE(outcome.busiest, senders + senders / 2) << senders;
     }
 }
 
-// Danger: what discovery tells counts though it refuses calls. A fleet that asks for more than is there asks
-// in time all the same, spread out; and it is answered wherever its calls, so far apart, can be answered.
-TEST(RegistryFleet, AFleetThatAsksForMoreThanIsThereAsksInTimeAndSpreadOut) {
+// Updates are binding although discovery refuses requests. A fleet that exceeds its capacity must still ask
+// in time, with its requests spread out.
+TEST(RegistryFleet, AFleetAboveTheCapacityAsksInTimeAndSpreadOut) {
     for (const int senders : {100, 300, 900}) {
-        const auto seen = loseAll(senders, options(senders), 120s);
-        EXPECT_LE(seen.longest, 4500ms) << senders;
-        EXPECT_LE(seen.busiest, senders + senders / 2) << senders;
+        const auto outcome = loseAll(senders, optionsFor(senders), 120s);
+        EXPECT_LE(outcome.longest, 4500ms) << senders;
+        EXPECT_LE(outcome.busiest, senders + senders / 2) << senders;
     }
 }
 
-TEST(RegistryFleet, AFleetIsAnsweredByADiscoveryThatCanTakeItsCalls) {
+// Requests at these intervals are answered wherever the capacity allows it.
+TEST(RegistryFleet, AFleetWithinTheCapacityIsAnswered) {
     for (const int senders : {300, 900}) {
-        const auto seen = loseAll(senders, options(senders), 120s, milliseconds(2400 / senders));
-        EXPECT_EQ(seen.heard, senders);
-        EXPECT_LE(seen.calls, 4 * senders);
+        const auto outcome = loseAll(senders, optionsFor(senders), 120s, milliseconds(2400 / senders));
+        EXPECT_EQ(outcome.answered, senders);
+        EXPECT_LE(outcome.requests, 4 * senders);
     }
 }
 
-// The stand-in can fail a fleet: senders that each take themselves for the only one starve each other.
-TEST(RegistryFleet, SendersThatKnowOfNoFleetShutEachOtherOut) {
-    const auto seen = loseAll(100, options(1), 30s);
-    EXPECT_LT(seen.heard, 50);
-    EXPECT_GT(seen.refused, 1000);
+// Shows that the stand-in can become overloaded: it does if each sender assumes to be the only one.
+TEST(RegistryFleet, SendersThatDoNotKnowTheFleetSizeOverloadDiscovery) {
+    const auto outcome = loseAll(100, optionsFor(1), 30s);
+    EXPECT_LT(outcome.answered, 50);
+    EXPECT_GT(outcome.refused, 1000);
 }
 
-TEST(RegistryPause, TheFirstCallGoesOutBeforeNewsCountsAsTold) {
+TEST(RegistryPause, TheFirstRequestGoesOutBeforeUpdatesAreBinding) {
     for (const int senders : {1, 100, 300, 100000, 2000000000})
-        EXPECT_LE(reconnectPause(options(senders), {}, 0.999999), 150ms) << senders;  // drain grace: 250 ms
+        EXPECT_LE(reconnectPause(optionsFor(senders), {}, 0.999999), 150ms)
+            << senders;  // drain grace: 250 ms
 }
 
-// Another customer's grace is shorter: what was told counts sooner there. And none is so short that a stream
-// which ends at once would be asked for without a pause.
-TEST(RegistryPause, TheFirstCallGoesOutWithinAnyDrainGrace) {
+// A platform may set a shorter drain grace, so that updates are binding sooner. Even without any grace there
+// must be a pause, or streams that end at once would cause a busy loop.
+TEST(RegistryPause, TheFirstRequestGoesOutWithinAnyDrainGrace) {
     for (const auto grace : {80ms, 150ms, 250ms, 1000ms}) {
-        auto told = options(300);
-        told.drainGrace = grace;
-        EXPECT_LE(reconnectPause(told, {}, 0.999999), 3 * grace / 5) << grace.count();
-        EXPECT_LE(reconnectPause(told, {}, 0.999999), 150ms) << grace.count();
+        auto changed = optionsFor(300);
+        changed.drainGrace = grace;
+        EXPECT_LE(reconnectPause(changed, {}, 0.999999), 3 * grace / 5) << grace.count();
+        EXPECT_LE(reconnectPause(changed, {}, 0.999999), 150ms) << grace.count();
     }
-    auto told = options(300);
-    told.drainGrace = 0ms;
-    EXPECT_GE(reconnectPause(told, {}, 0), 5ms);
+    auto changed = optionsFor(300);
+    changed.drainGrace = 0ms;
+    EXPECT_GE(reconnectPause(changed, {}, 0), 5ms);
 }
 
-TEST(RegistryPause, TheGraceComesFromThePlatformsSettings) {
+TEST(RegistryPause, TheDrainGraceComesFromThePlatformsSettings) {
     auto text = check::settings();
     const std::string usual = R"("drain-grace-ns":250000000,)";
     const auto grace = [&](const std::string& instead) {
@@ -179,16 +181,16 @@
 
 TEST(RegistryPause, GrowsWithRefusalsAndIsBounded) {
     const auto most = [](int senders, int failures, bool refused) {
-        return reconnectPause(options(senders), {failures, refused, {}}, 0.999999);
+        return reconnectPause(optionsFor(senders), {failures, refused, {}}, 0.999999);
     };
     EXPECT_GT(most(30, 2, true), 1.9 * most(30, 0, true));
     EXPECT_LE(most(100, 60, true), 4400ms);
     EXPECT_LE(most(100000, 60, true), 4400ms);
-    // A few senders, or a discovery that is merely away: asked again soon.
+    // With few senders, or while discovery can't be reached at all, the pauses stay short.
     EXPECT_LE(most(2, 60, true), 1100ms);
     EXPECT_LE(most(2, 60, false), 1100ms);
     EXPECT_LE(most(300, 60, false), 1100ms);
-    EXPECT_GE(reconnectPause(options(2), {60, false, {}}, 0), 50ms);
+    EXPECT_GE(reconnectPause(optionsFor(2), {60, false, {}}, 0), 50ms);
 }
 
 }  // namespace
