--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -162,7 +162,7 @@
         std::size_t held = 0, endpoints = 0, destinations = 0, waits = 0;
     };
     TableSizes tableSizes() const;
-    /// Violations of the rules that were detected.
+    /// Violations of the rules that were detected. Does not take the facade's lock.
     const rules::Violations& violations() const { return violations_; }
 
     /// Retry bucket of a destination; see stoathub::RetryBucketState.
