--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -30,7 +30,7 @@
     double shrinkShare = 0.5;         ///< a full list under this share of the one before is suspicious ...
     std::size_t shrinkLeast = 4;      ///< ... if that one had at least this many entries
     milliseconds shrinkHold{30'000};  ///< how long the endpoints it leaves out stay suspended
-    milliseconds tombstoneHold{600'000};    ///< time before a source without history can end a tombstone
+    milliseconds tombstoneHold{600'000};    ///< time before a discovery without history can end a tombstone
     milliseconds tombstoneAge{86'400'000};  ///< older tombstones are deleted
     std::size_t tombstones = 512;           ///< the maximum number; the oldest are deleted first
 };
@@ -77,6 +77,7 @@
     std::size_t suspended = 0;         ///< number of endpoints that a suspiciously small list left out
 };
 
+/// The entries of all known endpoints, by name, destination and address.
 class Membership {
   public:
     explicit Membership(const Policy& policy) : policy_(policy) {}
--- a/src/store/attempt_history.hpp
+++ b/src/store/attempt_history.hpp
@@ -20,6 +20,7 @@
     bool failed = false;  ///< false: the endpoint rejected it for lack of capacity
 };
 
+/// The attempts of one message: how many, which one is open, and whether any may have run.
 class AttemptHistory {
   public:
     /// The fields that a record stores.
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -32,6 +32,7 @@
     std::vector<int> effects;  ///< of each class, see StoredMessage::effect
 };
 
+/// The store in the file messages.log of a folder.
 class Journal : public Store {
   public:
     /// Throws std::system_error if the file can't be opened: at once if the folder is missing, otherwise
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -27,7 +27,9 @@
     AttemptHistory attempts;
 };
 
+/// How an undelivered message ended: failed, or returned to the platform, which may submit it again.
 enum class FinalState { failed, returned };
+
 /// The end of an undelivered message that the platform has not acknowledged yet.
 struct PendingNotice {
     std::string id;
--- a/tests/laurelhaven/journal_test.cpp
+++ b/tests/laurelhaven/journal_test.cpp
@@ -64,21 +64,21 @@
     }
     for (int run = 0; run < 2; ++run) {  // the second run reads what the first one left
         const auto found = Journal(folder.path, kDiskBytes).recover();
-        std::map<std::string, StoredMessage> by;
-        for (const auto& m : found.messages) by[m.id] = m;
-        CHECK(by.size() == 5 && found.messages[0].id == "fresh");
-        CHECK(by["fresh"].key == "key-fresh" && *by["fresh"].body == "body" &&
-              by["fresh"].deadline == 1234567);
-        CHECK(by["fresh"].destination == 7 && by["fresh"].attempts.attemptCount() == 0 &&
-              !by["fresh"].attempts.mayHaveRunSince());
-        CHECK(by["out"].attempts.attemptCount() == 1 && by["out"].attempts.mayHaveRunSince() == 100);
-        const auto& ran = by["ran"].attempts;
+        std::map<std::string, StoredMessage> byId;
+        for (const auto& m : found.messages) byId[m.id] = m;
+        CHECK(byId.size() == 5 && found.messages[0].id == "fresh");
+        CHECK(byId["fresh"].key == "key-fresh" && *byId["fresh"].body == "body" &&
+              byId["fresh"].deadline == 1234567);
+        CHECK(byId["fresh"].destination == 7 && byId["fresh"].attempts.attemptCount() == 0 &&
+              !byId["fresh"].attempts.mayHaveRunSince());
+        CHECK(byId["out"].attempts.attemptCount() == 1 && byId["out"].attempts.mayHaveRunSince() == 100);
+        const auto& ran = byId["ran"].attempts;
         CHECK(!ran.openAttempt() && ran.attemptCount() == 2 && ran.failures() == 2 &&
               ran.mayHaveRunSince() == 200);
-        const auto& full = by["full"].attempts;
+        const auto& full = byId["full"].attempts;
         CHECK(full.attemptCount() == 1 && full.failures() == 0 && !full.mayHaveRunSince());
-        CHECK(by["down"].attempts.attemptCount() == 0 && by["down"].attempts.failures() == 1 &&
-              by["down"].attempts.lastFailureAt() == 450);
+        CHECK(byId["down"].attempts.attemptCount() == 0 && byId["down"].attempts.failures() == 1 &&
+              byId["down"].attempts.lastFailureAt() == 450);
         CHECK(found.notices.size() == 1 && found.notices[0].id == "ended" &&
               found.notices[0].retryAfterMs == 500);
     }
