--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,4 @@
-// One message: taken, refused by the destination, tried again after a backoff, delivered.
+// One message: accepted, rejected by the destination, retried after a backoff, delivered.
 #include <cstdio>
 #include <stoathub/stoathub.hpp>
 
@@ -19,14 +19,14 @@
         MessageAccepted{.id = "m1", .destination = 7, .timeLeft = 28s}};
     for (int attempt = 0; now < Time(28s); now += 10ms) {
         auto actions = sender.turn(now, events);
-        events = {TimerFired{}};  // a real caller brings TimerFired when its SetTimer is due, and other
-                                  // events as they come
+        // A real caller reports TimerFired when its SetTimer is due, and other events as they come.
+        events = {TimerFired{}};
         for (const auto& action : actions) {
             const auto* send = std::get_if<Send>(&action);
             if (!send) continue;
             const bool good = attempt > 0;
             std::printf("attempt %d to %s: %s\n", attempt, send->endpoint.c_str(),
-                        good ? "delivered" : "full");
+                        good ? "delivered" : "rejected");
             Outcome outcome{.id = send->id, .endpoint = send->endpoint, .attempt = attempt++, .took = 5ms};
             outcome.result = good ? Result::delivered : Result::rejected;
             outcome.concluded = good;
