--- a/include/stoathub/stoathub.hpp
+++ b/include/stoathub/stoathub.hpp
@@ -194,7 +194,7 @@
 struct Fail {
     MessageId id;
 };
-/// Cancel one attempt. Its Outcome still has to be reported.
+/// Cancel one attempt: stop waiting for its answer. Its Outcome still has to be reported.
 struct Cancel {
     MessageId id;
     int attempt = 0;
--- a/src/sender.cpp
+++ b/src/sender.cpp
@@ -146,7 +146,10 @@
     }
 
     std::vector<Action> turn(Time now, const std::vector<Event>& events) {
-        if (!started_) startTime_ = now, started_ = true;
+        if (!started_) {
+            startTime_ = now;
+            started_ = true;
+        }
         now_ = toSeconds(now - startTime_);
         actions_.clear();
         nextCheckAt_ = kNever;
@@ -254,7 +257,8 @@
             route.recoveredAt = std::max(route.recoveredAt, now_ - toSeconds(*health.sinceRecovery));
         if (health.unconfirmed && !route.unconfirmed) {
             // Random, so that senders that restart together do not make their first attempts together.
-            route.firstDeliveryAt = kNever, route.unconfirmedTokensAt = now_;
+            route.firstDeliveryAt = kNever;
+            route.unconfirmedTokensAt = now_;
             route.unconfirmedTokens = health.probed ? 1 : settings_.senders > 1 ? random() : 1;
         }
         if (health.probed) route.unconfirmedTokens -= 1;
@@ -272,7 +276,10 @@
             return;
         }
         if (update.kind != ListUpdateKind::saved) subscribePause_ = 0;
-        if (update.kind != ListUpdateKind::delta) ++listGeneration_, pendingReplacements_.clear();
+        if (update.kind != ListUpdateKind::delta) {
+            ++listGeneration_;
+            pendingReplacements_.clear();
+        }
         for (const auto& entry : update.entries) applyListEntry(entry);
         if (update.kind != ListUpdateKind::delta)
             for (auto& [id, endpoint] : endpoints_)
@@ -400,12 +407,16 @@
         activeAttempts_.erase(attempt);
     }
 
+    // Updates what is known about the endpoint, its route and its destination.
     void observeOutcome(EndpointEntry& endpoint, const Outcome& outcome, bool reusedConnection) {
         RouteState& route = routeOf(endpoint);
         if (outcome.result == Result::notForwarded || outcome.stale) return;
         route.lastObservedAt = now_;
         if (outcome.allowedRate && *outcome.allowedRate > 0) route.rateLimit = *outcome.allowedRate;
-        if (outcome.allowedRate) route.reportedRateLimit = *outcome.allowedRate, limitsReported_ = true;
+        if (outcome.allowedRate) {
+            route.reportedRateLimit = *outcome.allowedRate;
+            limitsReported_ = true;
+        }
         const bool succeeded = outcome.result == Result::delivered;
         // A failed connect puts no load on the destination.
         if (route.unconfirmed && (succeeded || outcome.result == Result::connectFailed))
@@ -475,9 +486,11 @@
     void updateHealth(RouteState& route, const EndpointEntry& endpoint, const Outcome& outcome) {
         const Result result = outcome.result;
         if (result == Result::delivered) {
-            if (route.down)
-                route.down = false, route.recoveredAt = now_,
+            if (route.down) {
+                route.down = false;
+                route.recoveredAt = now_;
                 route.successShare = std::max(route.successShare, kRecoveredSuccessShare);
+            }
             route.failureStreak = route.rejectionStreak = 0;
             destinationEntry(endpoint.destinationId).route.failureStreak =
                 destinationEntry(endpoint.destinationId).route.rejectionStreak = 0;
@@ -525,7 +538,10 @@
             route.wasUnresponsive =
                 result != Result::rejected ||
                 (route.wasUnresponsive && now_ < route.recoveredAt + toSeconds(settings_.warmUp));
-        if (route.down && !wasDown && isSparse(route)) route.paceTokens = random(), route.paceTokensAt = now_;
+        if (route.down && !wasDown && isSparse(route)) {
+            route.paceTokens = random();
+            route.paceTokensAt = now_;
+        }
     }
 
     // Adapts the rate to rejections and successes. Attempts above a rate limit lead to the most expensive
@@ -564,7 +580,10 @@
     // then tested with a single attempt that may be repeated. If all endpoints fail, none is avoided, and
     // updateHealth() decides.
     void backOffEndpoint(EndpointEntry& endpoint, Result result) {
-        if (result == Result::delivered) endpoint.failureStreak = 0, endpoint.avoidUntil = 0;
+        if (result == Result::delivered) {
+            endpoint.failureStreak = 0;
+            endpoint.avoidUntil = 0;
+        }
         if (result == Result::delivered || result == Result::rejected) return;
         if (endpoint.failureStreak >= kEndpointBackoffFailures || result == Result::connectFailed)
             endpoint.avoidUntil =
@@ -606,11 +625,12 @@
             route.paceTokens = std::min(1.0, route.paceTokens + 1);  // a failed connect puts no load on it
         }
     }
+    // The current multiple of the fair share; it decays to 1.
     double fairShares(const RouteState& route) const {
         return 1 + (route.fairShares - 1) * std::exp(-(now_ - route.fairSharesAt) / kFairShareDecaySeconds);
     }
 
-    // This sender's fair share of the destination's capacity, in attempts per second.
+    // This sender's equal share of the rate limit or, if that is unknown, its own best delivery rate.
     double fairRate(const RouteState& route) const {
         return std::max(route.rateLimit > 0 ? route.rateLimit / settings_.senders : route.bestDeliveryRate,
                         kMinFairRatePerSecond / settings_.senders);
@@ -635,12 +655,14 @@
                    (settings_.coldCapacityShare +
                     (1 - settings_.coldCapacityShare) * (now_ - route.recoveredAt) / warmUp);
         if (usesFairShares(route)) return kFairShareLimitFraction * fairRate(route) * fairShares(route);
-        // In a large fleet the fair share of a limit is below the normal random arrival rate of messages, and
-        // a limit at that share would delay nearly all of them. So only recent rejections slow the sending
-        // down. The cost: bursts at all senders at once can exceed the limit.
+        // In a large fleet the fair share of one sender is so small that messages, which arrive at random,
+        // would nearly all be delayed by it. So only recent rejections slow the sending down. The cost:
+        // simultaneous bursts at all senders can exceed the rate limit.
         if (isSparse(route) && now_ > route.rateCutAt + kRecentRejectionSeconds) return kNever;
         return route.rateCap;
     }
+    // True if traffic is sparse: in a large fleet, where the fair rate of one sender is too small to space
+    // its attempts by, and too few outcomes are seen for streaks and averages.
     bool isSparse(const RouteState& route) const {
         return settings_.senders > kSmallFleetSenders && fairRate(route) < kSparseRatePerSecond;
     }
@@ -651,12 +673,17 @@
             settings_.senders > kSmallFleetSenders && now_ < route.recoveredAt + toSeconds(settings_.warmUp);
         return (isSparse(route) || warming) && route.rateLimit > 0;
     }
+    // True if the answer reports a rate limit and how much of it is unused.
     static bool reportsLimit(const Outcome& outcome) {
         return outcome.allowedRate && *outcome.allowedRate > 0 && outcome.allowanceLeft;
     }
 
+    // Refills the tokens over time, and returns them; an attempt needs a whole one.
     double refillPaceTokens(RouteState& route, int routes) {
-        if (pacedRate(route, routes) == kNever) return route.paceTokensAt = now_, route.paceTokens = 1;
+        if (pacedRate(route, routes) == kNever) {
+            route.paceTokensAt = now_;
+            return route.paceTokens = 1;
+        }
         // An announced wait ends for all senders at once, so nothing is saved up during it.
         route.paceTokensAt = std::max(route.paceTokensAt, std::min(route.waitUntil, now_));
         route.paceTokens = std::min(
@@ -708,6 +735,7 @@
     }
 
     // ---- final answers ----
+    // Whether the client may submit the message again without the risk of a second effect.
     bool isSafeToResubmit(const Message& message) const {
         const MessageClass& messageClass = settings_.messageClasses[message.classIndex];
         return !message.mayHaveRun || message.effect == Effect::pure ||
@@ -935,7 +963,10 @@
             // the first would get all single attempts of the whole fleet. So each sender has a random order
             // of its own. It keeps to that order, so that connections are reused.
             const auto rank = std::make_pair(endpoint->attemptsOut, endpoint->tieBreaker);
-            if (!chosen || rank < bestRank) chosen = endpoint, bestRank = rank;
+            if (!chosen || rank < bestRank) {
+                chosen = endpoint;
+                bestRank = rank;
+            }
         }
         return chosen;
     }
@@ -967,10 +998,10 @@
                                 last == kNever ? Time::max() : startTime_ + toDuration(last)});
     }
 
-    // Frees slots from unanswered attempts. Attempts without an answer at several destinations can occupy all
-    // slots, so that healthy destinations get none. While a message waits only for a slot, one attempt per
-    // turn is cancelled: the oldest one at an unresponsive endpoint, one that may be repeated before one that
-    // may not. The cost: the cancelled attempt might still have been answered.
+    // Frees slots from unanswered attempts. Attempts without an answer at several destinations, from whatever
+    // cause, can occupy all slots, so that healthy destinations get none. While a message waits only for a
+    // slot, one attempt per turn is cancelled: the oldest one at an unresponsive endpoint, one that may be
+    // repeated before one that may not. The cost: the cancelled attempt might still have been answered.
     void cancelStuckAttempt() {
         if (!waitingForSlot_ || !settings_.mayCancel) return;
         Message* worst = nullptr;
@@ -999,8 +1030,10 @@
     // answer. If far more attempts fail that way on reused connections than on new ones, none is kept for a
     // while. The cost: new connections, even if the difference was random.
     void updateIdleConnections() {
-        if (unansweredShare_[true] > kUnansweredShareGap + unansweredShare_[false])
-            keepNoIdleUntil_ = now_ + kConnectionsScarceSeconds / 2, unansweredShare_[true] = 0;
+        if (unansweredShare_[true] > kUnansweredShareGap + unansweredShare_[false]) {
+            keepNoIdleUntil_ = now_ + kConnectionsScarceSeconds / 2;
+            unansweredShare_[true] = 0;
+        }
         for (const auto& id : newlyIdle_) {
             const auto it = endpoints_.find(id);
             if (it == endpoints_.end() || it->second.attemptsOut > 0) continue;
@@ -1028,6 +1061,7 @@
         timerAt_ = next;
         actions_.push_back(SetTimer{toDuration(next - now_)});
     }
+    // Requests a turn at that time. Returns false, for use in conditions.
     bool checkAt(Seconds at) {
         nextCheckAt_ = std::min(nextCheckAt_, at);
         return false;
@@ -1044,6 +1078,7 @@
     RouteState& routeOf(EndpointEntry& endpoint) {
         return endpoint.separateRoute ? endpoint.route : destinationEntry(endpoint.destinationId).route;
     }
+    // With separate routes, that of the first endpoint.
     const RouteState& routeOf(const Message& message) {
         const DestinationEntry& destination = *message.destination;
         return destination.endpoints.empty() || !destination.endpoints.front()->separateRoute
