--- a/src/decisions/decisions.hpp
+++ b/src/decisions/decisions.hpp
@@ -41,7 +41,7 @@
     std::shared_ptr<const std::string> body;
 };
 
-/// The answer to a submission. Only after `accepted` does the sender owe the message a final outcome.
+/// The answer to a submission. Only after `accepted` does the sender owe the message a final answer.
 struct SubmissionResult {
     /// `conflict`: the id belongs to another message.
     enum class Kind { accepted, refused, failed, conflict };
@@ -66,10 +66,10 @@
 /// How one attempt ended.
 enum class AttemptStatus {
     delivered,
-    error,     ///< answered with an error: it may have run
-    rejected,  ///< the endpoint answered that it did not process the request
-    timedOut,  ///< no answer in time: it may have run
-    noConnection,
+    error,         ///< answered with an error: it may have run
+    rejected,      ///< the endpoint answered that it did not process the request
+    timedOut,      ///< no answer in time: it may have run
+    noConnection,  ///< no connection, or it failed before the whole request was written: it did not run
     reset,         ///< the connection broke after the last byte was sent: it may have run
     cancelled,     ///< abandoned on request: it may have run
     notForwarded,  ///< an intermediary at the endpoint answered that it did not forward the request
@@ -80,10 +80,10 @@
 
 struct AttemptResult {
     AttemptStatus status = AttemptStatus::unsent;
-    bool messageFinished = false;         ///< the message needs no further outcome
+    bool messageFinished = false;         ///< the message needs no final answer any more
     std::chrono::nanoseconds wait{};      ///< for rejected: announced wait of the destination; 0: none
     std::optional<double> allowanceLeft;  ///< unused share of the destination's rate limit, if reported
-    std::optional<double> allowedRate;    ///< rate limit in attempts per second, if reported
+    std::optional<double> allowedRate;    ///< rate limit in requests per second, if reported; 0: no limit
     bool unexpectedServer = false;        ///< the answer is one that no expected endpoint gives
     bool stale = false;                   ///< a reused connection broke immediately after the request
 };
@@ -93,7 +93,7 @@
     std::uint64_t destination = 0;
     bool down = false;                                       ///< in an outage
     std::optional<std::chrono::milliseconds> sinceRecovery;  ///< since the end of its last outage
-    double rateLimit = 0;                                    ///< attempts per second; 0: unknown
+    double rateLimit = 0;  ///< requests per second, for all senders together; 0: unknown
     bool unconfirmed = false;
     bool probed = false;  ///< a probe has just reached it
 };
@@ -102,6 +102,7 @@
 struct Hooks {
     /// A message ended undelivered and the platform is to be notified.
     std::function<void(const store::PendingNotice&)> messageEnded;
+    /// The endpoint changed or left the list, or none of its idle connections is to be kept.
     std::function<void(const std::string& endpoint)> closeIdleConnections;
     /// An attempt ended: evidence of which server is at the endpoint's address.
     std::function<void(const DueAttempt&, const AttemptResult&, std::chrono::nanoseconds took)>
--- a/src/decisions/recorder.hpp
+++ b/src/decisions/recorder.hpp
@@ -28,7 +28,7 @@
     /// The outcome of `attempt`. Without a number, delivery failed before an attempt was made.
     void recordOutcome(const std::string& id, std::optional<store::AttemptNumber> attempt,
                        store::AttemptOutcome outcome);
-    /// The message needs no further outcome and is removed from the store.
+    /// The message needs no final answer any more and is removed from the store.
     void remove(const std::string& id);
     /// The message ended undelivered; its notice is pending until the platform acknowledges it.
     void recordFinalState(const store::PendingNotice& notice);
--- a/src/kept/kept.hpp
+++ b/src/kept/kept.hpp
@@ -18,7 +18,8 @@
 
 using trust::RecordMs;
 
-/// What a later run needs to know of a destination.
+/// What a later run needs to know of a destination. Holds times where decisions::DestinationHealth holds
+/// durations.
 struct DestinationHealth {
     std::uint64_t destination = 0;
     bool down = false;          ///< in an outage when this was written
@@ -30,9 +31,9 @@
 
 /// The content of a file.
 struct SavedEndpointList {
-    std::string sender;      ///< name of the sender that wrote it
-    RecordMs writtenAt = 0;  ///< the latest time in any record
-    std::uint64_t index = 0, epoch = 0;
+    std::string sender;                  ///< name of the sender that wrote it
+    RecordMs writtenAt = 0;              ///< the latest time in any record
+    std::uint64_t index = 0, epoch = 0;  ///< of discovery; the epoch counts how often its index fell
     trust::Churn churn;
     std::map<std::string, membership::Entry, std::less<>> entries;
     std::map<std::uint64_t, DestinationHealth> destinationHealth;
@@ -42,8 +43,8 @@
 enum class FileState {
     good,
     absent,    ///< no file, or an empty one
-    torn,      ///< bytes at its end are no complete record
-    damaged,   ///< a part inside can't be read
+    torn,      ///< bytes at its end are no complete record, or its end can't be read
+    damaged,   ///< a part inside can't be read, or it can't be opened
     foreign,   ///< not written by this program, or by another sender
     newer,     ///< written in a later version of the format
     oversized  ///< larger than its budget
@@ -70,8 +71,8 @@
 std::string encode(const membership::Entry& entry);
 /// Removes an endpoint that an earlier record added.
 std::string encodeRemoval(const std::string& endpoint);
-/// The state of the list as a whole. Reading it sets the confirmation time of all endpoints in service to
-/// `now`; with `now` 0 it confirms none.
+/// The state of the list as a whole. When it is read, the endpoints of earlier records that are not refuted
+/// count as confirmed by discovery at `now`, unless confirmed later; with `now` 0 it confirms none.
 std::string encodeListState(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn,
                             RecordMs now);
 std::string encode(const DestinationHealth& health);
--- a/src/listing/listing.hpp
+++ b/src/listing/listing.hpp
@@ -18,7 +18,7 @@
     std::string name, address, zone, type;
     std::uint64_t destination = 0;  ///< "group" in JSON
     Status status = Status::serving;
-    double weight = 0;  ///< announced requests per second of the destination; 0: unknown
+    double weight = 0;  ///< rate limit of the destination in requests per second; 0: unknown
     /// Unix time of its last start in milliseconds, "since_ms" in JSON; 0: long ago.
     std::int64_t startedAtMs = 0;
     bool operator==(const Endpoint&) const = default;
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -2,9 +2,11 @@
 // configuration, and discovery. Assesses for each endpoint whether messages may go there now. No I/O and no
 // clock: times are passed in. Not synchronized.
 //
-// Invariants: the latest update of discovery wins, by discovery's index; an endpoint that drained or was
-// deleted never returns to service through an older source; an endpoint missing from a full list of discovery
-// gets no more messages, however implausible that list is.
+// Invariants: changes from discovery with an index below the known one are not merged, a full list is, as
+// discovery has lost its history then; an endpoint that drained, was deleted or was left out returns to
+// service only by a higher index, by a later start of the endpoint or after tombstoneHold, as long as its
+// tombstone is kept; an endpoint missing from a full list of discovery gets no more messages, however
+// implausible that list is.
 #pragma once
 
 #include <cstdint>
@@ -27,10 +29,12 @@
 /// Limits for implausible lists and for tombstones, the entries of endpoints that left service.
 struct Policy {
     trust::Policy trust;
-    double shrinkShare = 0.5;         ///< a full list under this share of the one before is suspicious ...
-    std::size_t shrinkLeast = 4;      ///< ... if that one had at least this many entries
-    milliseconds shrinkHold{30'000};  ///< how long the endpoints it leaves out stay suspended
-    milliseconds tombstoneHold{600'000};    ///< time before a discovery without history can end a tombstone
+    /// After the first list of a run, a full list with fewer serving endpoints than this share of the known
+    /// ones is suspicious ...
+    double shrinkShare = 0.5;
+    std::size_t shrinkLeast = 4;          ///< ... if at least this many were known
+    milliseconds shrinkHold{30'000};      ///< how long the endpoints it leaves out stay suspended
+    milliseconds tombstoneHold{600'000};  ///< after it, any update that lists the endpoint as serving ends it
     milliseconds tombstoneAge{86'400'000};  ///< older tombstones are deleted
     std::size_t tombstones = 512;           ///< the maximum number; the oldest are deleted first
 };
@@ -42,7 +46,7 @@
     RecordMs firstListedAt = 0;
     RecordMs confirmedAt = 0;  ///< see Membership::evidence() for the time while discovery is live
     RecordMs refutedAt = 0;    ///< when `refutation` was set
-    double deliveries = 0;     ///< messages it accepted; fades at each start
+    double deliveries = 0;     ///< messages it accepted; halved at each start
     trust::ConfirmationSource confirmedBy = trust::ConfirmationSource::configuration;
     trust::RefutationReason refutation = trust::RefutationReason::none;
     bool listedNow = false;        ///< discovery listed or confirmed it on the present stream
@@ -86,7 +90,7 @@
 
     /// Restores an entry of the saved endpoint list.
     void restore(Entry entry);
-    /// Restores the index, the epoch and the churn of the saved endpoint list.
+    /// Restores the saved index, epoch (how often discovery's index fell) and churn (rate of changes).
     void restore(std::uint64_t index, std::uint64_t epoch, const trust::Churn& churn);
     /// Merges the list of the configuration: it replaces older entries if its index is higher than that of
     /// the saved list or if there is no saved list, and is ignored otherwise.
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -29,7 +29,7 @@
 constexpr int kMaxFleetRounds = 8;
 
 void logList(const listing::EndpointList& list) {
-    (log::info() << "registry: " << (list.snapshot ? "received a full list" : "received changes"))
+    (log::info() << "registry: " << (list.snapshot ? "full list" : "changes"))
         .kv("index", list.index)
         .kv("entries", list.endpoints.size());
 }
--- a/src/registry/registry.hpp
+++ b/src/registry/registry.hpp
@@ -1,9 +1,9 @@
 // The watch on discovery's list of endpoints: a thread that reads the stream of updates, passes them to the
 // roster, and connects again when the stream ends.
 //
-// A sender is held to the updates that discovery published whether or not it has read them: to a drain after
-// the drain grace, and to any update at the latest 6 s after discovery could be reached. From then on the
-// update is binding.
+// The platform's rules bind a sender to the updates that discovery published whether or not it has read them:
+// to a drain after the drain grace, and to any update at the latest 6 s after discovery could be reached.
+// From then on the update is binding.
 #pragma once
 
 #include <chrono>
@@ -54,7 +54,7 @@
 
 /// The settings section "discovery"; the last two come from the platform.
 struct Options {
-    std::size_t longestLine = 1000000;           ///< maximum bytes of one object of the stream
+    std::size_t longestLine = 1000000;  ///< maximum bytes of one object of the stream, over all its lines
     std::chrono::milliseconds pauseLeast{50};    ///< minimum pause before a reconnect
     std::chrono::milliseconds pauseMost{1'000};  ///< maximum pause, unless discovery refuses requests
     double fleetRate = 20;                       ///< target requests per second of all senders together
@@ -79,11 +79,11 @@
 
 /// How long to wait before discovery is asked again. The pause is drawn from a span by `chance` in [0, 1)
 /// (full jitter: M. Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015). The first span
-/// lies within three fifths of the drain grace, because updates of discovery are binding whether or not a
-/// watch is open. It doubles with each failure. After refusals it starts at the time in which all senders ask
-/// once at `fleetRate`, since they usually lose discovery at the same time. From the start of one request to
-/// the start of the next it never exceeds the time for which an update may go unnoticed, however large the
-/// fleet is.
+/// lies within three fifths of the drain grace (20 ms if that is less), because updates of discovery are
+/// binding whether or not a watch is open. It doubles with each failure. After refusals it starts at the time
+/// in which all senders ask once at `fleetRate`, since they usually lose discovery at the same time. From the
+/// start of one request to the start of the next it never exceeds the time for which an update may go
+/// unnoticed (4.4 s), however large the fleet is.
 std::chrono::milliseconds reconnectPause(const Options& options, const LastRequest& last, double chance);
 
 /// Keeps the roster up to date with discovery. start() and stop() must be called from the same thread.
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -353,10 +353,10 @@
         if (!entry) continue;
         const auto demand = decisions_.pendingLoad(entry->endpoint.destination);
         const auto& siblings = list_.endpointsOf(entry->endpoint.destination);
-        const bool destinationUsable = std::any_of(siblings.begin(), siblings.end(),
-                                                   [](const auto* sibling) { return usable(*sibling); });
+        const bool otherEndpointUsable = std::any_of(siblings.begin(), siblings.end(),
+                                                     [](const auto* sibling) { return usable(*sibling); });
         candidates.push_back({name, entry->endpoint.destination, entry->endpoint.weight, demand.held,
-                              entry->deliveries, demand.waitUntil, destinationUsable});
+                              entry->deliveries, demand.waitUntil, otherEndpointUsable});
     }
     return candidates;
 }
--- a/src/roster/roster.hpp
+++ b/src/roster/roster.hpp
@@ -77,7 +77,7 @@
 
     // -- called by the facade with its lock held: these only queue work for the thread --
     void attemptFinished(const decisions::DueAttempt& attempt, const decisions::AttemptResult& result);
-    /// A message came for a destination without a usable endpoint, so a probe may be due now.
+    /// A message came for a destination none of whose endpoints is serving, so a probe may be due now.
     void endpointNeeded(std::uint64_t destination);
 
     /// The number of entries of each trust level, and what was done for them.
--- a/src/rules/connection_rules.hpp
+++ b/src/rules/connection_rules.hpp
@@ -19,11 +19,14 @@
     closed
 };
 
-/// Which connections may be closed: only draining and long idle ones, or any with a priority above 0.
+/// Which connections may be closed: only draining ones and those idle for kLongIdleAge (2 s), or any with a
+/// priority above 0.
 enum class CloseScope { longIdle, all };
 
 /// How soon a connection may be closed to make room for others: 0 means never, the highest number goes first.
-/// Without this, clients that connect and send nothing, or half a request, would occupy all connections.
+/// One that has sent nothing for kSilentAge (0.3 s) or half a request for kSlowRequestAge (0.6 s) may be
+/// closed. Without this, clients that connect and send nothing, or half a request, would occupy all
+/// connections.
 int closePriority(ConnectionPhase phase, std::chrono::nanoseconds age, bool askedToClose);
 /// Returns whether a connection with this close priority may be closed now.
 bool mayClose(int priority, CloseScope scope);
--- a/src/rules/send_rules.cpp
+++ b/src/rules/send_rules.cpp
@@ -75,7 +75,7 @@
 }
 
 Refusal SendRules::checkLocked(const Attempt& attempt, TimePoint now) const {
-    if (now >= attempt.deadline) return Refusal::deadlinePassed;
+    if (now >= attempt.attemptDeadline) return Refusal::deadlinePassed;
     if (now >= attempt.keyWindowEnd) return Refusal::keyWindowPassed;
     const auto endpoint = endpoints_.find(attempt.endpoint);
     if (endpoint == endpoints_.end() || endpoint->second.destination != attempt.destination)
@@ -110,8 +110,8 @@
         violations_.count(Rule::record, subject, "sent without a journal record");
     if (attempt.number > limits_.maxAttempts)
         violations_.count(Rule::attempts, subject, "attempt " + std::to_string(attempt.number));
-    if (at >= attempt.deadline + kSchedulingAllowance)
-        violations_.count(Rule::deadline, subject, delayText(at, attempt.deadline));
+    if (at >= attempt.attemptDeadline + kSchedulingAllowance)
+        violations_.count(Rule::deadline, subject, delayText(at, attempt.attemptDeadline));
     if (attempt.keyWindowEnd != TimePoint::max() && at >= attempt.keyWindowEnd + kSchedulingAllowance)
         violations_.count(Rule::keyWindow, subject, delayText(at, attempt.keyWindowEnd));
     const auto stopped = notServingSince_.find(attempt.endpoint);
--- a/src/rules/send_rules.hpp
+++ b/src/rules/send_rules.hpp
@@ -35,9 +35,10 @@
     std::string message;  ///< id of the message
     std::string endpoint, address;
     std::uint64_t destination = 0;
-    int number = 0;          ///< counted from 1 for each message
-    TimePoint deadline;      ///< when waiting for the response ends
-    TimePoint keyWindowEnd;  ///< end of the key window if this is a repeat by key, else TimePoint::max()
+    int number = 0;             ///< DueAttempt::attempt + 1, and used again after an unsent attempt;
+                                ///< not a store::AttemptNumber
+    TimePoint attemptDeadline;  ///< when the attempt is abandoned: at the deadline of the message or earlier
+    TimePoint keyWindowEnd;     ///< end of the key window if this is a repeat by key, else TimePoint::max()
 };
 
 /// Why an attempt may not begin.
@@ -90,7 +91,7 @@
     /// The open attempt of this message has an outcome, or was not sent.
     void end(const std::string& message);
 
-    /// Number of announced waits held in memory.
+    /// Number of announced waits, including those that are over until pruneExpired() removes them.
     std::size_t waitCount() const;
 
   private:
--- a/src/rules/violations.hpp
+++ b/src/rules/violations.hpp
@@ -18,10 +18,10 @@
     overlap,      ///< no two attempts of one message at the same time
     attempts,     ///< no more attempts of one message than configured
     record,       ///< no first byte of an attempt before the attempt is in the journal
-    deadline,     ///< no attempt begins after its message's deadline
+    deadline,     ///< no attempt begins after it would be abandoned, at its message's deadline or earlier
     keyWindow,    ///< no repeat outside the key window
-    finalAnswer,  ///< exactly one end for each accepted message
-    lateEnd,      ///< each end in time
+    finalAnswer,  ///< exactly one final answer for each accepted message
+    lateEnd,      ///< no end over 300 ms after the deadline, for messages accepted in this run
     ownOutcome    ///< an outcome or an end is recorded only for the attempt or message it belongs to
 };
 constexpr std::size_t kRuleCount = 10;
--- a/src/store/attempt_history.cpp
+++ b/src/store/attempt_history.cpp
@@ -11,11 +11,11 @@
 
 void AttemptHistory::begin(AttemptNumber number, RecordMs at) {
     // An attempt that a previous run left open may have run; a rejection of this one must not revoke that.
-    closeAfterRestart();
+    closeAsMayHaveRun();
     // Skipped numbers belong to attempts whose records are damaged.
     if (!registerUnknownNumber(number)) ++state_.attemptCount;
     state_.openNumber = number;
-    state_.sentAt = at;
+    state_.beganAt = at;
 }
 
 bool AttemptHistory::attemptNotSent(AttemptNumber number) {
@@ -29,10 +29,10 @@
 }
 
 bool AttemptHistory::recordOutcome(AttemptNumber number, AttemptOutcome outcome) {
-    if (outcome.failed) recordFailure(state_.sentAt);
+    if (outcome.failed) recordFailure(state_.beganAt);
     const bool isOpen = isOpenAttempt(number);
     if (!isOpen && !registerUnknownNumber(number)) return false;
-    if (isOpen && outcome.mayHaveRun) closeAfterRestart();
+    if (isOpen && outcome.mayHaveRun) closeAsMayHaveRun();
     if (!isOpen && outcome.mayHaveRun) markUncertain();
     state_.openNumber = 0;
     return isOpen;
@@ -53,15 +53,15 @@
 /// the outcome of the attempt that was open before it too.
 bool AttemptHistory::registerUnknownNumber(AttemptNumber number) {
     if (number <= state_.lastNumber) return false;
-    closeAfterRestart();
+    closeAsMayHaveRun();
     state_.attemptCount += number - state_.lastNumber;
     state_.lastNumber = number;
     return true;
 }
 
-void AttemptHistory::closeAfterRestart() {
+void AttemptHistory::closeAsMayHaveRun() {
     if (state_.openNumber == 0) return;
-    if (state_.mayHaveRunSince == 0) state_.mayHaveRunSince = state_.sentAt;
+    if (state_.mayHaveRunSince == 0) state_.mayHaveRunSince = state_.beganAt;
     state_.openNumber = 0;
 }
 
@@ -78,7 +78,7 @@
 
 std::optional<RecordMs> AttemptHistory::mayHaveRunSince() const {
     if (state_.mayHaveRunSince != 0) return state_.mayHaveRunSince;
-    if (state_.openNumber != 0) return state_.sentAt;
+    if (state_.openNumber != 0) return state_.beganAt;
     return {};
 }
 
--- a/src/store/attempt_history.hpp
+++ b/src/store/attempt_history.hpp
@@ -17,7 +17,7 @@
 /// How an attempt ended.
 struct AttemptOutcome {
     bool mayHaveRun = false;
-    bool failed = false;  ///< false: the endpoint rejected it for lack of capacity
+    bool failed = false;  ///< false: it was rejected, not forwarded or not sent
 };
 
 /// The attempts of one message: how many, which one is open, and whether any may have run.
@@ -29,8 +29,8 @@
         std::uint32_t failures = 0;      ///< known failures, including those before anything was sent
         AttemptNumber lastNumber = 0;    ///< the last number in use; 0: none yet
         AttemptNumber openNumber = 0;    ///< the attempt without an outcome; 0: none
-        RecordMs sentAt = 0;             ///< when the last attempt began
-        RecordMs failedAt = 0;           ///< when the last failed attempt was made
+        RecordMs beganAt = 0;            ///< when the last attempt began
+        RecordMs failedAt = 0;           ///< time of the latest known failure; for an attempt, when it began
         RecordMs mayHaveRunSince = 0;    ///< when the first attempt that may have run began; 0: none has
     };
 
@@ -50,8 +50,8 @@
     bool recordOutcome(AttemptNumber number, AttemptOutcome outcome);
     /// Counts a failure before anything was sent, such as a failed connect. It changes no attempt.
     void recordUnsentFailure(RecordMs at);
-    /// Closes the open attempt as one that may have run: its outcome was lost with the process that made it.
-    void closeAfterRestart();
+    /// Closes the open attempt, if any, as one that may have run: by its outcome, or as its outcome is lost.
+    void closeAsMayHaveRun();
     /// Records are missing, and any of them may have been an attempt, made at an unknown time.
     void markUncertain();
 
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -117,7 +117,7 @@
     // Positions refer to the present configuration, so rewrite them as names before the next start.
     if (hasLegacyPositions_) compact();
     // The outcomes of attempts that were open when the previous run ended are lost, so these may have run.
-    for (auto& live : liveRecords_) live.message.attempts.closeAfterRestart();
+    for (auto& live : liveRecords_) live.message.attempts.closeAsMayHaveRun();
     RecoveredState found;
     for (const auto& live : liveRecords_) {
         if (live.ended) found.notices.push_back(live.notice);
@@ -153,7 +153,7 @@
         .number(attempts.failures)
         .number(attempts.lastNumber)
         .number(attempts.openNumber)
-        .number(attempts.sentAt)
+        .number(attempts.beganAt)
         .number(attempts.failedAt)
         .number(attempts.mayHaveRunSince)
         .text(*m.body)
@@ -190,7 +190,7 @@
     attempts.failures = in.number<std::uint32_t>();
     attempts.lastNumber = in.number<AttemptNumber>();
     attempts.openNumber = in.number<AttemptNumber>();
-    attempts.sentAt = in.number<RecordMs>();
+    attempts.beganAt = in.number<RecordMs>();
     attempts.failedAt = in.number<RecordMs>();
     attempts.mayHaveRunSince = in.number<RecordMs>();
     return attempts;
@@ -203,7 +203,7 @@
     attempts.failures = in.number<std::uint32_t>();
     const bool open = in.number<int>() != 0;
     attempts.mayHaveRunSince = in.number<RecordMs>();
-    attempts.sentAt = attempts.failedAt = in.number<RecordMs>();
+    attempts.beganAt = attempts.failedAt = in.number<RecordMs>();
     if (open) attempts.openNumber = attempts.lastNumber;
     return attempts;
 }
@@ -238,7 +238,7 @@
         outcome.mayHaveRun = outcome.mayHaveRun || outcome.failed;
         attempts.recordOutcome(*open, outcome);
     } else if (outcome.failed) {
-        attempts.recordUnsentFailure(attempts.state().sentAt);
+        attempts.recordUnsentFailure(attempts.state().beganAt);
     }
 }
 
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -36,10 +36,10 @@
 class Journal : public Store {
   public:
     /// Throws std::system_error if the file can't be opened: at once if the folder is missing, otherwise
-    /// after some seconds of retries.
+    /// after 8 s of retries.
     Journal(const std::string& folder, std::uint64_t diskBytes, LegacyPositions positions = {});
 
-    /// Throws std::system_error if the file can't be read for some seconds.
+    /// Throws std::system_error if the file can't be read for 8 s.
     RecoveredState recover() override;
     bool accept(const StoredMessage& message) override;
     std::optional<AttemptNumber> beginAttempt(const std::string& id, RecordMs at) override;
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -27,7 +27,8 @@
     AttemptHistory attempts;
 };
 
-/// How an undelivered message ended: failed, or returned to the platform, which may submit it again.
+/// How an undelivered message ended: failed, or returned (refused after it was accepted) to the platform,
+/// which may submit it again.
 enum class FinalState { failed, returned };
 
 /// The end of an undelivered message that the platform has not acknowledged yet.
@@ -67,7 +68,7 @@
     virtual bool recordOutcome(const std::string& id, AttemptNumber attempt, AttemptOutcome outcome) = 0;
     /// A delivery failed before anything was sent, such as in connecting.
     virtual bool recordUnsentFailure(const std::string& id, RecordMs at) = 0;
-    /// Removes a message that needs no notice: it was delivered, withdrawn, or its submission was rejected.
+    /// Removes a message that needs no notice: it was delivered, withdrawn, or its submission was refused.
     virtual bool remove(const std::string& id) = 0;
     /// The message ended undelivered; its notice is pending until noticeAcknowledged().
     virtual bool recordFinalState(const PendingNotice& notice) = 0;
--- a/src/trust/probes.cpp
+++ b/src/trust/probes.cpp
@@ -32,7 +32,7 @@
     auto at = std::max({startedAt_ + spread, history.notBefore, nextSenderProbeAt_, candidate.waitUntil});
     if (const auto it = lastProbeAt_.find(candidate.destination); it != lastProbeAt_.end()) {
         // Where no endpoint of the destination may be used, probes also get the attempts' part of the budget.
-        const double share = candidate.destinationUsable ? policy_.coldShare : kUnusableDestinationShare;
+        const double share = candidate.otherEndpointUsable ? policy_.coldShare : kUnusableDestinationShare;
         const double rate = candidate.rateLimit > 0 ? candidate.rateLimit : kDefaultRateLimit;
         at = std::max(
             at, it->second + intervalFor(share * policy_.coldBudget * rate / std::max(1, policy_.senders)));
--- a/src/trust/probes.hpp
+++ b/src/trust/probes.hpp
@@ -18,13 +18,14 @@
 using std::chrono::milliseconds;
 
 struct ProbePolicy {
-    double perSecond = 20;        ///< probes of this sender, to all destinations together
-    double coldShare = 0.15;      ///< share of the cold budget of a destination that probes may use
-    double coldBudget = 0.38;     ///< requests that a destination in warm-up may get from all senders, as
-                                  ///< a share of its announced rate limit: fall-multiple x cold-from
-    int senders = 1;              ///< senders that share the cold budget
-    milliseconds jitter{400};     ///< the first probes after a start are spread over this time
-    milliseconds backOff{1'000};  ///< pause after a failed probe, doubled with each further failure
+    double perSecond = 20;             ///< probes of this sender, to all destinations together
+    double coldShare = 0.15;           ///< share of the cold budget of a destination that probes may use
+    double coldBudget = 0.38;          ///< requests per second that a destination in warm-up may get from all
+                                       ///< senders, as a share of its rate limit: overload multiple x cold
+                                       ///< capacity share, at most 1
+    int senders = 1;                   ///< senders that share the cold budget
+    milliseconds jitter{400};          ///< the first probes after a start are spread over this time
+    milliseconds backOff{1'000};       ///< pause after a failed probe, doubled with each further failure
     milliseconds backOffMost{60'000};  ///< upper bound of that pause
 };
 
@@ -34,9 +35,9 @@
     std::uint64_t destination = 0;
     double rateLimit = 0;             ///< announced requests per second of the destination; 0: unknown
     std::size_t waitingMessages = 0;  ///< messages that wait for the destination now
-    double traffic = 0;               ///< earlier deliveries to the endpoint, with older ones decayed
+    double traffic = 0;               ///< earlier deliveries to the endpoint, halved at each start
     TimePoint waitUntil{};            ///< end of an announced wait, which holds for probes too
-    bool destinationUsable = true;    ///< another endpoint of the destination gets messages
+    bool otherEndpointUsable = true;  ///< another endpoint of the destination gets messages
 };
 
 /// Schedules the probes of one sender.
--- a/src/trust/trust.hpp
+++ b/src/trust/trust.hpp
@@ -41,18 +41,20 @@
 
 /// The thresholds, in the settings section "trust" except for the last three.
 struct Policy {
-    milliseconds confirmedFor{30'000};          ///< a confirmation has full weight for this long
-    double confirmedAbove = 0.9;                ///< and only while the confidence is above this
+    milliseconds confirmedFor{30'000};          ///< an entry is `confirmed` for at most this long ...
+    double confirmedAbove = 0.9;                ///< ... and while its confidence is at least this
     double staleBelow = 0.5;                    ///< below this confidence an entry is stale
     milliseconds halfLife{6 * 3'600'000};       ///< assumed while nothing is known about the fleet
     milliseconds halfLifeLeast{120'000};        ///< lower bound of the learnt half-life
     milliseconds halfLifeMost{7 * 86'400'000};  ///< upper bound of the learnt half-life
     milliseconds maxAge{7 * 86'400'000};        ///< older entries are refuted
-    milliseconds blindLimit{3'600'000};         ///< where probes are not permitted, older entries are stale
-    milliseconds configuredAge{600'000};        ///< least age of entries whose real age is unknown
-    bool mayProbe = false;                      ///< the platform permits probes
-    int senders = 1;                            ///< senders that share the endpoints
-    milliseconds probeSpread{400};              ///< senders that restart together probe within this time
+    /// Where probes are not permitted, entries below `staleBelow` are ageing up to this age, with one attempt
+    /// at a time, and stale after it.
+    milliseconds blindLimit{3'600'000};
+    milliseconds configuredAge{600'000};  ///< least age of entries whose real age is unknown
+    bool mayProbe = false;                ///< the platform permits probes
+    int senders = 1;                      ///< senders that share the endpoints
+    milliseconds probeSpread{400};        ///< senders that restart together probe within this time
 };
 
 /// What is known about one entry.
--- a/tests/laurelhaven/decisions_test.cpp
+++ b/tests/laurelhaven/decisions_test.cpp
@@ -246,7 +246,7 @@
     m.deadline = now.count() + within;
     const auto sentAt = ranAgo > 0 ? now.count() - ranAgo : 0;
     m.attempts = store::AttemptHistory(
-        {.attemptCount = attempts, .lastNumber = attempts, .sentAt = sentAt, .mayHaveRunSince = sentAt});
+        {.attemptCount = attempts, .lastNumber = attempts, .beganAt = sentAt, .mayHaveRunSince = sentAt});
     m.body = std::make_shared<const std::string>("body");
     return m;
 }
@@ -281,7 +281,7 @@
             all.push_back(recoveredMessage("m" + std::to_string(i), 9000, 1, 5000));
             auto attempts = all.back().attempts.state();
             attempts.failures = 1;
-            attempts.failedAt = attempts.sentAt;
+            attempts.failedAt = attempts.beganAt;
             all.back().attempts = store::AttemptHistory(attempts);
             fixture.memoryStore.unfinished.insert(all.back().id);
         }
--- a/tests/trust/trust_test.cpp
+++ b/tests/trust/trust_test.cpp
@@ -240,7 +240,7 @@
         ProbeScheduler probes(policy, 3);
         probes.begin(kStart);
         auto candidate = stale("a", 1, 1);
-        candidate.destinationUsable = usable;
+        candidate.otherEndpointUsable = usable;
         return runProbes(probes, {candidate}, kStart + 60s, false).size();
     };
     EXPECT_LE(count(true), 15u);   // 0.15 x 0.38 x 4/s: one in 4.4 s
