--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -48,7 +48,7 @@
     lab::Server server("127.77.0.1:18443", [&](const http::Message&, lab::Connection& c) {
         // A stall holds up every connection, as a stopped process would.
         if (stall) std::this_thread::sleep_until(load::Moment(std::chrono::nanoseconds(until.load())));
-        return c.send(http::response(202, {}, "", true));
+        return c.send(http::formatResponse(202, {}, "", true));
     });
     server.start();
     std::vector<double> rates;
--- a/lab/load/loader.cpp
+++ b/lab/load/loader.cpp
@@ -172,7 +172,7 @@
             c = idle.back();
             idle.pop_back();
             if (!connections_[c] || connections_[c]->phase != Phase::idle) c = SIZE_MAX;
-            else if (!net::quiet(connections_[c]->fd.get())) drop(c), c = SIZE_MAX;
+            else if (!net::isIdle(connections_[c]->fd.get())) drop(c), c = SIZE_MAX;
         }
         if (c == SIZE_MAX && (c = open(sender)) == SIZE_MAX) return false;
         waiting_.pop_front();
@@ -193,8 +193,9 @@
                             {"Idempotency-Key", message.key},
                             {"X-Route-To", "dest=" + std::to_string(message.destination)}};
         if (handed.tries > 1) fields.emplace_back("Req-Retry", handed.status == 0 ? "again" : "1");
-        connection.out = http::request("POST", "/" + message.grade, shared_.addresses[connection.sender].text,
-                                       fields, std::string(message.bytes, 'b'));
+        connection.out =
+            http::formatRequest("POST", "/" + message.grade, shared_.addresses[connection.sender].text,
+                                fields, std::string(message.bytes, 'b'));
         connection.sent = 0;
         connection.sentAt = now;
         times.late.add(std::chrono::duration<double>(now - due).count());
@@ -223,7 +224,7 @@
         }
         const int one = 1;
         setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-        const auto& to = shared_.addresses[sender].at;
+        const auto& to = shared_.addresses[sender].socketAddress;
         const int rc = connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to);
         auto made = std::make_unique<Connection>();
         made->sender = sender;
@@ -325,7 +326,7 @@
         const auto& policy = shared_.options.policy;
         auto after = policy.pause;
         if (const auto* wait = answer.headers.find("Retry-After"))
-            if (const auto seconds = http::decimal(*wait))
+            if (const auto seconds = http::parseDecimal(*wait))
                 after = milliseconds(static_cast<long>(*seconds * 1000));
         const bool keep = answer.keepsAlive();
         if (keep) {
@@ -417,7 +418,7 @@
 Result play(const std::vector<Message>& messages, const Options& options, Moment begin) {
     Shared shared{messages, options, {}, begin, {}, {}, {}, {}, {}};
     for (const auto& text : options.senders) {
-        const auto address = net::address(text);
+        const auto address = net::parseAddress(text);
         if (!address) throw std::invalid_argument("'" + text + "' is no address such as 127.0.0.1:8443");
         shared.addresses.push_back(*address);
     }
--- a/lab/rig/sender.cpp
+++ b/lab/rig/sender.cpp
@@ -57,12 +57,12 @@
 bool ready(const std::string& address) {
     const auto until = net::Steady::now() + milliseconds(300);
     net::Fd fd = net::tcpSocket();
-    if (!fd || !net::connectBy(fd.get(), *net::address(address), until)) return false;
-    if (net::sendAll(fd.get(), http::request("GET", "/health/ready", address, {}, {}), until) !=
-        net::Io::done)
+    if (!fd || !net::connectBy(fd.get(), *net::parseAddress(address), until)) return false;
+    if (net::sendAll(fd.get(), http::formatRequest("GET", "/health/ready", address, {}, {}), until) !=
+        net::IoResult::done)
         return false;
     http::Parser parser(http::Parser::Role::response);
-    for (std::string got; net::receive(fd.get(), got, until) == net::Io::done; got.clear())
+    for (std::string got; net::receive(fd.get(), got, until) == net::IoResult::done; got.clear())
         if (parser.feed(got) == http::Parser::State::complete) return parser.message().status == 200;
     return false;
 }
--- a/lab/soak/clients.cpp
+++ b/lab/soak/clients.cpp
@@ -49,20 +49,20 @@
 }
 
 std::string Client::request(const HandIn& in, const MessageClass& its) const {
-    return http::request("POST", "/" + std::string(its.name), "service.internal",
-                         {{"Req-Id", in.id},
-                          {"Req-Kind", its.name},
-                          {"Req-Owner", "acme"},
-                          {"Req-Deadline-Ms", std::to_string(in.deadline.count())},
-                          {"Idempotency-Key", in.key},
-                          {"X-Route-To", "dest=" + std::to_string(in.destination)}},
-                         in.body);
+    return http::formatRequest("POST", "/" + std::string(its.name), "service.internal",
+                               {{"Req-Id", in.id},
+                                {"Req-Kind", its.name},
+                                {"Req-Owner", "acme"},
+                                {"Req-Deadline-Ms", std::to_string(in.deadline.count())},
+                                {"Idempotency-Key", in.key},
+                                {"X-Route-To", "dest=" + std::to_string(in.destination)}},
+                               in.body);
 }
 
 net::Fd Client::connect() const {
     if (!machine_.takesNewConnections()) return {};
     net::Fd fd = net::tcpSocket();
-    const auto address = net::address(machine_.listen());
+    const auto address = net::parseAddress(machine_.listen());
     if (!fd || !net::connectBy(fd.get(), *address, Steady::now() + kPatience)) return {};
     return fd;
 }
@@ -74,10 +74,11 @@
 
 Client::Heard Client::exchange(int fd, const std::string& text, Moment until, bool endsSending) {
     Heard heard;
-    heard.written = net::sendAll(fd, text, until) == net::Io::done;
-    if (endsSending) net::shutWriting(fd);
+    heard.written = net::sendAll(fd, text, until) == net::IoResult::done;
+    if (endsSending) net::shutdownWrite(fd);
     http::Parser parser(http::Parser::Role::response);
-    while (heard.written && heard.io == net::Io::done && parser.state() != http::Parser::State::complete) {
+    while (heard.written && heard.io == net::IoResult::done &&
+           parser.state() != http::Parser::State::complete) {
         std::string got;
         heard.io = net::receive(fd, got, until);
         parser.feed(got);
@@ -91,9 +92,9 @@
 NoAnswer Client::lost(const Heard& heard, const Surroundings& before) const {
     const auto now = surroundings();
     if (before.networkFails || now.networkFails) return NoAnswer::faulty;
-    if (heard.io == net::Io::timedOut) return NoAnswer::gaveUp;
+    if (heard.io == net::IoResult::timedOut) return NoAnswer::gaveUp;
     // Where there is no room, a new connection may be shut unread.
-    const bool reset = !heard.written || heard.io == net::Io::broken || before.crowded || now.crowded;
+    const bool reset = !heard.written || heard.io == net::IoResult::broken || before.crowded || now.crowded;
     return reset ? NoAnswer::reset : NoAnswer::closed;
 }
 
@@ -116,7 +117,8 @@
             return kept;
         }
         kept.reset();
-        if (!fresh && heard.io != net::Io::timedOut) continue;  // it crossed the end of a kept connection
+        if (!fresh && heard.io != net::IoResult::timedOut)
+            continue;  // it crossed the end of a kept connection
         return oracle_.unanswered(id, lost(heard, before), fresh, Steady::now()), net::Fd{};
     }
 }
@@ -145,7 +147,7 @@
     const auto around = surroundings();
     const bool mayWait = switches_.on(Kind::accept, machine_.number()) || machine_.stopping() ||
                          around.networkFails || around.crowded;
-    if (net::unread(fd) == net::Unread::nothing && !mayWait)
+    if (net::unreadState(fd) == net::UnreadState::nothing && !mayWait)
         oracle_.violated("bad client", id + " with half a request heard nothing for 3 s at sender " +
                                            std::to_string(machine_.number()));
 }
@@ -177,11 +179,11 @@
 }
 
 void Crowd::keepFull() {
-    const auto address = net::address(machine_.listen());
+    const auto address = net::parseAddress(machine_.listen());
     while (!over_) {
         for (auto& fd : connections_) {
             if (over_) return;
-            if (fd && net::unread(fd.get()) == net::Unread::nothing) continue;
+            if (fd && net::unreadState(fd.get()) == net::UnreadState::nothing) continue;
             fd = machine_.takesNewConnections() ? net::tcpSocket() : net::Fd{};
             if (fd && !net::connectBy(fd.get(), *address, Steady::now() + kCrowdConnect)) {
                 fd.reset();
--- a/lab/soak/clients.hpp
+++ b/lab/soak/clients.hpp
@@ -49,7 +49,7 @@
         int status = 0;  ///< 0: no answer
         bool keepsAlive = false;
         bool written = false;
-        net::Io io = net::Io::done;
+        net::IoResult io = net::IoResult::done;
     };
     static Heard exchange(int fd, const std::string& text, Moment until, bool endsSending);
     /// The state of the sender's machine, as far as it bears on its connections.
--- a/lab/soak/partner.cpp
+++ b/lab/soak/partner.cpp
@@ -81,13 +81,13 @@
     std::snprintf(seconds, sizeof seconds, "%.3f", static_cast<double>(wait.count()) / 1000);
     oracle_.callEnded(call, CallEnd::neverRan);
     const auto writtenFrom = Steady::now();
-    const bool written = connection.send(http::response(429, {{"Retry-After", seconds}}, "", true));
+    const bool written = connection.send(http::formatResponse(429, {{"Retry-After", seconds}}, "", true));
     oracle_.toldWait(call, wait, writtenFrom);
     return written;
 }
 
 bool Partner::answer(const std::string& name, const http::Message& request, Connection& connection) {
-    if (request.target != "/hook") return connection.send(http::response(404, {}, "", true));
+    if (request.target != "/hook") return connection.send(http::formatResponse(404, {}, "", true));
     const auto call =
         oracle_.callBegan(header(request, "Req-Id"), header(request, "Idempotency-Key"), request.body, name,
                           destination(), [&connection] { return connection.open(); });
@@ -105,8 +105,8 @@
     if (happens(Kind::resets)) return end(CallEnd::mayHaveRun), false;
     if (happens(Kind::garbles)) return end(CallEnd::mayHaveRun), spoilt(connection, draw(0, 3));
     if (happens(Kind::errors))
-        return end(CallEnd::mayHaveRun), connection.send(http::response(500, {}, "", true));
-    const bool heard = connection.open() && connection.send(http::response(200, {}, "", true));
+        return end(CallEnd::mayHaveRun), connection.send(http::formatResponse(500, {}, "", true));
+    const bool heard = connection.open() && connection.send(http::formatResponse(200, {}, "", true));
     end(heard ? CallEnd::delivered : CallEnd::mayHaveRun);
     if (heard && connection.pause(kSurelyHeard)) oracle_.surelyHeard(call);
     return heard;
--- a/lab/standin/discovery.cpp
+++ b/lab/standin/discovery.cpp
@@ -167,13 +167,14 @@
             text = listText(true, told, mode_ == Mode::stale ? frozenIndex_ : index_);
         }
         if (mode == Mode::cut) text.resize(std::min(text.size(), kCutAfter));
-        if (!connection.send(http::response(200, {}, text, true)) || mode == Mode::cut) return false;
+        if (!connection.send(http::formatResponse(200, {}, text, true)) || mode == Mode::cut) return false;
         if (onTold)
             for (const auto& e : told) onTold(e);
         return true;
     }
     const std::string watched = "/registry/instances?watch=1&after=";
-    if (message.target.rfind(watched, 0) != 0) return connection.send(http::response(404, {}, "", true));
+    if (message.target.rfind(watched, 0) != 0)
+        return connection.send(http::formatResponse(404, {}, "", true));
     std::uint64_t after = 0;
     std::from_chars(message.target.data() + watched.size(), message.target.data() + message.target.size(),
                     after);
@@ -248,7 +249,7 @@
         notice.state = state;
         ++notice.times;
     }
-    return connection.send(http::response(good ? 204 : 400, {}, "", true));
+    return connection.send(http::formatResponse(good ? 204 : 400, {}, "", true));
 }
 
 std::map<std::string, Discovery::Notice> Discovery::notices() const {
--- a/lab/standin/partner.cpp
+++ b/lab/standin/partner.cpp
@@ -148,16 +148,16 @@
 
 bool Partner::answer(Point& point, const http::Message& message, Connection& connection) {
     if (message.target == "/health/live" || message.target == "/stats") {
-        if (!model().probes) return connection.send(http::response(404, {}, "", true));
+        if (!model().probes) return connection.send(http::formatResponse(404, {}, "", true));
         ledger_.probed(point.id, model().destination);
         const std::lock_guard lock(mutex_);
         const auto now = Steady::now();
         const bool up = arrived(now) && !point.draining;
-        return connection.send(http::response(up ? 200 : 503, load(now), "", message.keepsAlive())) &&
+        return connection.send(http::formatResponse(up ? 200 : 503, load(now), "", message.keepsAlive())) &&
                message.keepsAlive();
     }
     if (message.method != "POST" || message.target != "/hook")
-        return connection.send(http::response(404, {}, "", true));
+        return connection.send(http::formatResponse(404, {}, "", true));
     return call(point, message, connection);
 }
 
@@ -174,7 +174,7 @@
         record.outcome = outcome;
         record.at = Steady::now();
         ledger_.ended(record);
-        return connection.send(http::response(status, fields, "", true));
+        return connection.send(http::formatResponse(status, fields, "", true));
     };
     if (!verdict.known || !verdict.fits)
         return finish(verdict.known ? Outcome::misdirected : Outcome::unknown, 400, {});
--- a/lab/standin/server.cpp
+++ b/lab/standin/server.cpp
@@ -9,11 +9,11 @@
 using std::chrono::milliseconds;
 
 bool Connection::send(std::string_view bytes) {
-    return net::sendAll(fd_, bytes, net::Steady::now() + std::chrono::seconds(5)) == net::Io::done;
+    return net::sendAll(fd_, bytes, net::Steady::now() + std::chrono::seconds(5)) == net::IoResult::done;
 }
 bool Connection::open() const {
-    const auto unread = net::unread(fd_);
-    return !ending_ && (unread == net::Unread::nothing || unread == net::Unread::bytes);
+    const auto unread = net::unreadState(fd_);
+    return !ending_ && (unread == net::UnreadState::nothing || unread == net::UnreadState::bytes);
 }
 bool Connection::pause(std::chrono::nanoseconds span) const {
     for (const auto until = net::Steady::now() + span; net::Steady::now() < until;) {
@@ -31,17 +31,17 @@
 void Server::start() {
     if (acceptor_.joinable()) return;
     ending_ = false;
-    listener_ = net::listenOn(*net::address(address_), 256);
+    listener_ = net::listenOn(*net::parseAddress(address_), 256);
     // Port 0 becomes the one that it got, and stays.
     if (const auto colon = address_.rfind(':'); address_.substr(colon) == ":0")
-        address_.replace(colon + 1, std::string::npos, std::to_string(net::portOf(listener_.get())));
+        address_.replace(colon + 1, std::string::npos, std::to_string(net::localPort(listener_.get())));
     acceptor_ = std::thread([this, fd = listener_.get()] { accept(fd); });
 }
 
 void Server::stop() {
     if (!acceptor_.joinable()) return;
     ending_ = true;
-    net::shut(listener_.get());
+    net::shutdownBoth(listener_.get());
     acceptor_.join();
     listener_.reset();
     {
@@ -49,7 +49,7 @@
         for (auto& peer : peers_) {
             const linger reset{1, 0};
             setsockopt(peer.fd.get(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
-            net::shut(peer.fd.get());
+            net::shutdownBoth(peer.fd.get());
         }
     }
     for (auto& peer : peers_) peer.thread.join();
@@ -58,7 +58,7 @@
 
 void Server::cut() {
     const std::lock_guard lock(mutex_);
-    for (auto& peer : peers_) net::shut(peer.fd.get());
+    for (auto& peer : peers_) net::shutdownBoth(peer.fd.get());
 }
 
 void Server::reap() {
@@ -82,7 +82,7 @@
         peer.fd = std::move(fd);
         peer.thread = std::thread([this, &peer] {
             serve(peer);
-            net::shut(peer.fd.get());
+            net::shutdownBoth(peer.fd.get());
             peer.done = true;
         });
     }
@@ -93,8 +93,8 @@
     Connection connection(peer.fd.get(), ending_);
     for (std::string got; !ending_; got.clear()) {
         const auto io = net::receive(peer.fd.get(), got, net::Steady::now() + milliseconds(500));
-        if (io == net::Io::timedOut) continue;
-        if (io != net::Io::done) return;
+        if (io == net::IoResult::timedOut) continue;
+        if (io != net::IoResult::done) return;
         for (auto state = parser.feed(got); state == http::Parser::State::complete; state = parser.next()) {
             while (silent_ && !ending_) std::this_thread::sleep_for(milliseconds(20));
             if (ending_ || !handler_(parser.message(), connection)) return;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -128,7 +128,7 @@
 }
 
 net::Address address(const std::string& text, const char* what) {
-    auto found = net::address(text);
+    auto found = net::parseAddress(text);
     if (!found) bad(std::string(what) + " is not an address and port: '" + text + "'");
     return *found;
 }
--- a/src/delivery/delivery.cpp
+++ b/src/delivery/delivery.cpp
@@ -29,7 +29,7 @@
     for (const auto part : http::split(report, ",")) {
         const auto equals = part.find('=');
         if (equals != std::string_view::npos && part.substr(0, equals) == name)
-            return http::decimal(part.substr(equals + 1));
+            return http::parseDecimal(part.substr(equals + 1));
     }
     return {};
 }
@@ -60,7 +60,7 @@
     }
     if (result.status == AttemptStatus::rejected) {
         if (const auto* wait = headers.find("Retry-After")) {
-            const auto seconds = http::decimal(*wait);
+            const auto seconds = http::parseDecimal(*wait);
             if (seconds)
                 result.wait = std::chrono::nanoseconds(static_cast<long>(std::min(*seconds, 3600.0) * 1e9));
             else log::warning() << "skipped a Retry-After that is no number";
@@ -112,7 +112,7 @@
 }
 
 AttemptResult Delivery::deliver(const DueAttempt& call) {
-    const auto address = net::address(call.address);
+    const auto address = net::parseAddress(call.address);
     if (!address) return {};
     net::Fd fd = idle_.take(call.endpoint, call.address);
     for (;;) {
@@ -139,32 +139,33 @@
     const auto ended = [](AttemptStatus ending) { return AttemptResult{ending, false, {}, {}, {}}; };
     if (call.cancelToken.stop_requested()) return ended(AttemptStatus::unsent);
     const auto until = std::min(call.tryUntil, net::Steady::now() + config_.settings.connectTimeout);
-    const auto start = warm ? net::ConnectStart::begun : net::beginConnect(fd, address);
-    if (start == net::ConnectStart::local) {
+    const auto start = warm ? net::ConnectStart::started : net::beginConnect(fd, address);
+    if (start == net::ConnectStart::localFailure) {
         log::debug() << "call " << call.id << ": no connect can begin: " << std::strerror(errno);
         return ended(AttemptStatus::unsent);
     }
-    const bool begun = start == net::ConnectStart::begun;
+    const bool begun = start == net::ConnectStart::started;
     // Danger: set up before the connect has begun, this would shut nothing, and a connect to a silent address
     // would outlast a planned stop.
-    const std::stop_callback shutIt(call.cancelToken, [fd] { net::shut(fd); });
-    if (!warm && !(begun && net::connected(fd, until)))
+    const std::stop_callback shutIt(call.cancelToken, [fd] { net::shutdownBoth(fd); });
+    if (!warm && !(begun && net::finishConnect(fd, until)))
         return ended(call.cancelToken.stop_requested() ? AttemptStatus::unsent : AttemptStatus::noConnection);
     // What came meanwhile on a connection that stood idle belongs to an earlier call. Looked at before the
     // attempt is on record, or one that surely never left would be; and again after, as that may have taken
     // its time.
-    if (warm && !net::quiet(fd)) return ended(AttemptStatus::noConnection);
+    if (warm && !net::isIdle(fd)) return ended(AttemptStatus::noConnection);
     if (!decisions_.tryBeginAttempt(call)) {
         keep = !call.cancelToken.stop_requested();
         return ended(AttemptStatus::unsent);
     }
-    if (warm && !net::quiet(fd)) return ended(AttemptStatus::noConnection);
+    if (warm && !net::isIdle(fd)) return ended(AttemptStatus::noConnection);
     const auto left = std::chrono::ceil<milliseconds>(call.tryUntil - net::Steady::now()).count();
     http::Fields fields{{"Req-Id", call.id}, {"Req-Deadline-Ms", std::to_string(std::max<long>(left, 1))}};
     if (!call.key.empty()) fields.emplace_back("Idempotency-Key", call.key);
-    const auto bytes = http::request("POST", "/hook", call.address, fields, *call.body);
+    const auto bytes = http::formatRequest("POST", "/hook", call.address, fields, *call.body);
     const auto firstByteAt = net::Steady::now();
-    if (net::sendAll(fd, bytes, call.tryUntil) != net::Io::done) return ended(AttemptStatus::noConnection);
+    if (net::sendAll(fd, bytes, call.tryUntil) != net::IoResult::done)
+        return ended(AttemptStatus::noConnection);
     const auto sentAt = net::Steady::now();
     decisions_.recordSent(call, firstByteAt);
     auto result = answer(call, fd, keep);
@@ -180,13 +181,13 @@
     using State = http::Parser::State;
     http::Parser parser(http::Parser::Role::response);
     auto until = call.tryUntil;
-    auto io = net::Io::done;
+    auto io = net::IoResult::done;
     std::size_t bytes = 0;
     bool begun = false;
     while (parser.state() != State::complete && parser.state() != State::bad && bytes < kMostAnswer) {
         std::string got;
         io = net::receive(fd, got, until);
-        if (io != net::Io::done) break;
+        if (io != net::IoResult::done) break;
         bytes += got.size();
         parser.feed(got);
         // 1xx answers say nothing yet; the answer proper may still take its time.
@@ -202,8 +203,8 @@
         return meaning(parser.message());
     if (parser.message().status == 200) return ended(AttemptStatus::delivered);
     if (call.cancelToken.stop_requested()) return ended(AttemptStatus::cancelled);
-    if (!begun) return ended(io == net::Io::timedOut ? AttemptStatus::timedOut : AttemptStatus::reset);
-    if (io == net::Io::closed || io == net::Io::broken) return ended(AttemptStatus::reset);
+    if (!begun) return ended(io == net::IoResult::timedOut ? AttemptStatus::timedOut : AttemptStatus::reset);
+    if (io == net::IoResult::closed || io == net::IoResult::broken) return ended(AttemptStatus::reset);
     log::info() << "an answer of " << call.endpoint << " can't be read";
     return ended(AttemptStatus::error);
 }
--- a/src/delivery/idle.cpp
+++ b/src/delivery/idle.cpp
@@ -14,7 +14,7 @@
         const bool fresh = now < it->until;
         it = entries_.erase(it);
         // An endpoint that died or closed has reset it: a request on it would end as a reset.
-        if (fresh && net::quiet(fd.get())) return fd;
+        if (fresh && net::isIdle(fd.get())) return fd;
     }
     return {};
 }
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -48,9 +48,9 @@
 void turnAway(const net::Fd& fd) {
     static auto& turnedAway = metrics::counter("connections_turned_away_total");
     turnedAway.add();
-    static const auto text = http::response(503, {{"Retry-After", kComeAgain}}, "no room\n", false);
+    static const auto text = http::formatResponse(503, {{"Retry-After", kComeAgain}}, "no room\n", false);
     net::sendAll(fd.get(), text, net::Steady::now() + kTurnAway);
-    net::shutWriting(fd.get());
+    net::shutdownWrite(fd.get());
     net::discardUnread(fd.get(), kMostDrained);
 }
 
@@ -75,10 +75,10 @@
     std::unique_lock lock(mutex_);
     if (stopping_.exchange(true)) return;
     if (acceptor_.joinable())
-        changed_.wait_for(lock, kQueue, [this] { return !net::waits(listener_.get()); });
+        changed_.wait_for(lock, kQueue, [this] { return !net::hasPendingConnection(listener_.get()); });
     lock.unlock();
     deaf_ = true;
-    net::shut(listener_.get());
+    net::shutdownBoth(listener_.get());
     changed_.notify_all();
     acceptor_.join();
     listener_.reset();
@@ -170,7 +170,7 @@
         if (!rules::mayClose(its, least)) continue;
         if (worst && std::make_pair(its, worst->since) <= std::make_pair(rank(*worst), c.since)) continue;
         // Bytes that its thread has not come to yet may be a whole request.
-        if (c.phase != Phase::draining && net::unread(c.fd.get()) == net::Unread::bytes) continue;
+        if (c.phase != Phase::draining && net::unreadState(c.fd.get()) == net::UnreadState::bytes) continue;
         worst = &c;
     }
     if (!worst) return false;
@@ -183,7 +183,7 @@
 /// Wakes its thread, which answers what has come whole and ends. With the lock held.
 void Front::tellToGo(Connection& connection) {
     connection.shut = true;
-    net::shutReading(connection.fd.get());
+    net::shutdownRead(connection.fd.get());
 }
 
 void Front::reap(std::unique_lock<std::mutex>& lock) {
@@ -227,7 +227,7 @@
     }
     if (next == Next::drain) {
         enter(connection, Phase::draining);
-        net::shutWriting(fd);
+        net::shutdownWrite(fd);
         net::discard(fd, kMostDrained, net::Steady::now() + kDrain);
     }
     enter(connection, Phase::closed);
@@ -259,8 +259,8 @@
         const http::Fields again{{"Retry-After", kComeAgain}};
         countAnswer(status);
         log::debug() << "front: " << status << ": " << std::string_view(why).substr(0, std::strlen(why) - 1);
-        const auto text = http::response(status, status == 503 ? again : http::Fields{}, why, false);
-        const bool heard = net::sendAll(fd, text, net::Steady::now() + kWrite) == net::Io::done;
+        const auto text = http::formatResponse(status, status == 503 ? again : http::Fields{}, why, false);
+        const bool heard = net::sendAll(fd, text, net::Steady::now() + kWrite) == net::IoResult::done;
         return heard ? Next::drain : closing("unwritten");
     };
     bool continued = false;
@@ -268,24 +268,24 @@
         if (parser.state() == State::body && !continued &&
             parser.message().headers.lists("Expect", "100-continue")) {
             continued = true;
-            if (net::sendAll(fd, "HTTP/1.1 100 Continue\r\n\r\n", until) != net::Io::done)
+            if (net::sendAll(fd, "HTTP/1.1 100 Continue\r\n\r\n", until) != net::IoResult::done)
                 return closing("unwritten");
         }
         std::string bytes;
         const auto io = net::receive(fd, bytes, until);
-        if (io == net::Io::timedOut) return refuse(408, "the request took too long\n");
+        if (io == net::IoResult::timedOut) return refuse(408, "the request took too long\n");
         // Danger: we ended its reading, and its client may write the last byte just now. It would get no
         // answer.
-        if (io == net::Io::closed && (first || parser.begun()) && toldToGo(connection))
+        if (io == net::IoResult::closed && (first || parser.begun()) && toldToGo(connection))
             return refuse(503, "no room, or stopping\n");
-        if (io != net::Io::done) {
-            const bool ended = io == net::Io::closed;
+        if (io != net::IoResult::done) {
+            const bool ended = io == net::IoResult::closed;
             return closing(parser.begun() ? (ended ? "half_request" : "broken_request") : "by_client");
         }
         parser.feed(bytes);
     }
-    if (parser.state() == State::bad) return refuse(parser.refusal(), "the request can't be taken\n");
-    switch (rules::requestDisposition(parser.leftover(), net::unread(fd), toldToGo(connection))) {
+    if (parser.state() == State::bad) return refuse(parser.errorStatus(), "the request can't be taken\n");
+    switch (rules::requestDisposition(parser.leftover(), net::unreadState(fd), toldToGo(connection))) {
         case rules::RequestDisposition::answer: return Next::request;
         case rules::RequestDisposition::rejectTrailingBytes:
             return refuse(400, "more follows than the request's length says\n");
@@ -301,8 +301,8 @@
     const auto say = [&](int status, const http::Fields& fields, std::string_view body) {
         keep = keep && !stopping_;  // asked last: a stop may have come since
         countAnswer(status);
-        const auto text = http::response(status, fields, request.method == "HEAD" ? "" : body, keep);
-        if (net::sendAll(fd, text, until) != net::Io::done) return closing("unwritten");
+        const auto text = http::formatResponse(status, fields, request.method == "HEAD" ? "" : body, keep);
+        if (net::sendAll(fd, text, until) != net::IoResult::done) return closing("unwritten");
         return keep ? Next::request : Next::drain;
     };
     const auto asked = intake(config_, request, came);
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -31,7 +31,7 @@
     /// No new connections; those open end after the request that they are in.
     void stop();
     std::size_t connections();
-    int port() const { return net::portOf(listener_.get()); }
+    int port() const { return net::localPort(listener_.get()); }
 
   private:
     struct Connection {
--- a/src/front/intake.cpp
+++ b/src/front/intake.cpp
@@ -53,12 +53,12 @@
         if (tenant < 0) return Denied{400, "Req-Owner is missing or unknown"};
     }
     const auto* deadline = headers.find("Req-Deadline-Ms");
-    const auto ms = deadline ? http::wholeNumber(*deadline, kLongestDeadlineMs) : std::nullopt;
+    const auto ms = deadline ? http::parseUnsigned(*deadline, kLongestDeadlineMs) : std::nullopt;
     if (!ms) return Denied{400, "Req-Deadline-Ms is not a whole number of milliseconds"};
     const auto* route = headers.find("X-Route-To");
     std::optional<unsigned long long> destination;
     for (const auto part : http::split(route ? *route : std::string_view(), ",;& "))
-        if (part.substr(0, 5) == "dest=") destination = http::wholeNumber(part.substr(5), 1ULL << 53);
+        if (part.substr(0, 5) == "dest=") destination = http::parseUnsigned(part.substr(5), 1ULL << 53);
     if (!destination) return Denied{400, "X-Route-To names no dest"};
     const auto* key = headers.find("Idempotency-Key");
     const bool keyed = config.settings.messageClasses[grade].effect == stoathub::Effect::keyed;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -9,7 +9,7 @@
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
-bool same(std::string_view a, std::string_view b) {
+bool equalsIgnoreCase(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [](char x, char y) { return lower(x) == lower(y); });
 }
@@ -20,24 +20,24 @@
     return text;
 }
 
-bool token(std::string_view text) {
+bool isToken(std::string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
         return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'z') ||
                std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
     });
 }
 
-bool clean(std::string_view text) {  // no control bytes: they could smuggle a second header
+bool hasNoControlBytes(std::string_view text) {  // no control bytes: they could smuggle a second header
     return std::all_of(text.begin(), text.end(), [](char c) {
         const auto byte = static_cast<unsigned char>(c);
         return byte == '\t' || (byte >= 0x20 && byte != 0x7f);
     });
 }
 
-constexpr std::size_t kMostBlanks = 2;
-constexpr std::size_t kStatusEnds = 13;  // "HTTP/1.1 200 "
+constexpr std::size_t kMaxLeadingBlankLines = 2;
+constexpr std::size_t kStatusCodeEnd = 13;  // "HTTP/1.1 200 "
 
-const char* reason(int status) {
+const char* reasonPhrase(int status) {
     switch (status) {
         case 200: return "OK";
         case 202: return "Accepted";
@@ -57,7 +57,7 @@
     }
 }
 
-void append(std::string& text, const Fields& fields) {
+void appendFields(std::string& text, const Fields& fields) {
     for (const auto& [name, value] : fields) {
         text.append(name).append(": ").append(value).append("\r\n");
     }
@@ -67,20 +67,20 @@
 
 const std::string* Headers::find(std::string_view name) const {
     for (const auto& [key, value] : all)
-        if (same(key, name)) return &value;
+        if (equalsIgnoreCase(key, name)) return &value;
     return nullptr;
 }
 
 std::size_t Headers::count(std::string_view name) const {
-    return static_cast<std::size_t>(
-        std::count_if(all.begin(), all.end(), [&](const auto& field) { return same(field.first, name); }));
+    return static_cast<std::size_t>(std::count_if(
+        all.begin(), all.end(), [&](const auto& field) { return equalsIgnoreCase(field.first, name); }));
 }
 
 bool Headers::lists(std::string_view name, std::string_view word) const {
     for (const auto& [key, value] : all) {
-        if (!same(key, name)) continue;
+        if (!equalsIgnoreCase(key, name)) continue;
         for (const auto part : split(value, ","))
-            if (same(part, word)) return true;
+            if (equalsIgnoreCase(part, word)) return true;
     }
     return false;
 }
@@ -92,70 +92,72 @@
 
 Parser::State Parser::feed(std::string_view bytes) {
     buffer_.append(bytes);
-    return run();
+    return parse();
 }
 
 Parser::State Parser::finish() {
-    if (state_ == State::body && part_ == Part::untilEnd) return state_ = State::complete;
-    return state_ == State::complete ? state_ : bad(400);
+    if (state_ == State::body && bodyPart_ == BodyPart::untilClose) return state_ = State::complete;
+    return state_ == State::complete ? state_ : fail(400);
 }
 
 Parser::State Parser::next() {
     message_ = {};
     state_ = State::head;
-    first_ = true;
-    headerBytes_ = blanks_ = 0;
-    return run();
+    expectsFirstLine_ = true;
+    headerBytes_ = leadingBlankLines_ = 0;
+    return parse();
 }
 
-Parser::State Parser::bad(int status) {
-    refusal_ = status;
+Parser::State Parser::fail(int status) {
+    errorStatus_ = status;
     return state_ = State::bad;
 }
 
 /// False with the state still good: the line has not come whole.
 bool Parser::readLine(std::string_view& line, std::size_t most) {
-    const auto end = buffer_.find('\n', at_);
-    if ((end == std::string::npos ? buffer_.size() : end) - at_ > most) return bad(431), false;
+    const auto end = buffer_.find('\n', consumed_);
+    if ((end == std::string::npos ? buffer_.size() : end) - consumed_ > most) return fail(431), false;
     if (end == std::string::npos) return false;
-    line = std::string_view(buffer_).substr(at_, end - at_);
-    at_ = end + 1;
+    line = std::string_view(buffer_).substr(consumed_, end - consumed_);
+    consumed_ = end + 1;
     // Danger: readers that disagree on where a line ends see different requests in the same bytes. A client
     // ends each line with both bytes; an endpoint's answer is for nobody else, and read more kindly.
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    else if (role_ == Role::request) return bad(400), false;
+    else if (role_ == Role::request) return fail(400), false;
     return true;
 }
 
-Parser::State Parser::run() {
+Parser::State Parser::parse() {
     std::string_view line;
     while (state_ == State::head && readLine(line, limits_.line)) {
-        if (first_) {
-            if (line.empty() && ++blanks_ <= kMostBlanks) continue;  // tolerated before a message
-            first_ = false;
-            if (!firstLine(line)) return bad(400);
+        if (expectsFirstLine_) {
+            if (line.empty() && ++leadingBlankLines_ <= kMaxLeadingBlankLines)
+                continue;  // tolerated before a message
+            expectsFirstLine_ = false;
+            if (!parseFirstLine(line)) return fail(400);
         } else if (line.empty()) {
-            if (!headDone()) return state_;
+            if (!finishHead()) return state_;
         } else {
             headerBytes_ += line.size() + 2;
-            if (headerBytes_ > limits_.headers) return bad(431);
-            if (!headerLine(line)) return bad(400);
+            if (headerBytes_ > limits_.headers) return fail(431);
+            if (!parseHeaderLine(line)) return fail(400);
         }
     }
     // An answer whose first line has not ended may say enough already, or that it is none.
-    const auto begun = std::string_view(buffer_).substr(at_);
-    if (state_ == State::head && first_ && role_ == Role::response && begun.size() >= kStatusEnds &&
-        begun.find('\r') == std::string_view::npos && !firstLine(begun))
-        return bad(400);
-    while (state_ == State::body && takeBody()) {
+    const auto begun = std::string_view(buffer_).substr(consumed_);
+    if (state_ == State::head && expectsFirstLine_ && role_ == Role::response &&
+        begun.size() >= kStatusCodeEnd && begun.find('\r') == std::string_view::npos &&
+        !parseFirstLine(begun))
+        return fail(400);
+    while (state_ == State::body && readBody()) {
     }
-    buffer_.erase(0, at_);
-    at_ = 0;
+    buffer_.erase(0, consumed_);
+    consumed_ = 0;
     return state_;
 }
 
-bool Parser::firstLine(std::string_view line) {
-    if (role_ == Role::request && !clean(line)) return false;
+bool Parser::parseFirstLine(std::string_view line) {
+    if (role_ == Role::request && !hasNoControlBytes(line)) return false;
     const auto version = [this](std::string_view text) {
         if (text != "HTTP/1.1" && text != "HTTP/1.0") return false;
         message_.minor = text.back() - '0';
@@ -164,7 +166,7 @@
     if (role_ == Role::response) {
         const auto space = line.find(' ');
         if (space == std::string_view::npos || !version(line.substr(0, space))) return false;
-        const auto code = wholeNumber(line.substr(space + 1, 3), 599);
+        const auto code = parseUnsigned(line.substr(space + 1, 3), 599);
         if (!code || *code < 100 || (line.size() > space + 4 && line[space + 4] != ' ')) return false;
         message_.status = static_cast<int>(*code);
         return true;
@@ -174,21 +176,21 @@
     if (one == std::string_view::npos || two == one) return false;
     message_.method = line.substr(0, one);
     message_.target = line.substr(one + 1, two - one - 1);
-    return token(message_.method) && !message_.target.empty() &&
+    return isToken(message_.method) && !message_.target.empty() &&
            message_.target.find(' ') == std::string::npos && version(line.substr(two + 1));
 }
 
-bool Parser::headerLine(std::string_view line) {
+bool Parser::parseHeaderLine(std::string_view line) {
     const auto colon = line.find(':');
-    if (colon == std::string_view::npos || !token(line.substr(0, colon))) return false;
+    if (colon == std::string_view::npos || !isToken(line.substr(0, colon))) return false;
     const auto value = trimmed(line.substr(colon + 1));
     // An answer's fields are passed on to nobody, and what is wrong in one does not spoil the others.
-    if (role_ == Role::request && !clean(value)) return false;
+    if (role_ == Role::request && !hasNoControlBytes(value)) return false;
     message_.headers.all.emplace_back(line.substr(0, colon), value);
     return true;
 }
 
-bool Parser::headDone() {
+bool Parser::finishHead() {
     const auto& headers = message_.headers;
     const auto* coding = headers.find("Transfer-Encoding");
     const auto* length = headers.find("Content-Length");
@@ -196,86 +198,86 @@
     // Danger: two lengths, and the next message would begin at a guess: a body might hide a request.
     const auto repeated = [&](std::string_view name) { return headers.count(name) > 1; };
     if ((coding && length) || repeated("Transfer-Encoding") || repeated("Content-Length"))
-        return bad(400), false;
-    if (coding && message_.minor == 0) return bad(400), false;
+        return fail(400), false;
+    if (coding && message_.minor == 0) return fail(400), false;
     state_ = State::body;
     if (role_ == Role::response && (status < 200 || status == 204 || status == 304)) {
         state_ = State::complete;
     } else if (coding) {
-        if (!same(*coding, "chunked")) return bad(501), false;
-        part_ = Part::chunkSize;
+        if (!equalsIgnoreCase(*coding, "chunked")) return fail(501), false;
+        bodyPart_ = BodyPart::chunkSize;
     } else if (length) {
-        const auto size = wholeNumber(*length, ~0ULL);
-        if (!size) return bad(400), false;
-        if (*size > limits_.body) return bad(413), false;
-        part_ = Part::length;
-        left_ = static_cast<std::size_t>(*size);
+        const auto size = parseUnsigned(*length, ~0ULL);
+        if (!size) return fail(400), false;
+        if (*size > limits_.body) return fail(413), false;
+        bodyPart_ = BodyPart::length;
+        remaining_ = static_cast<std::size_t>(*size);
     } else if (role_ == Role::request) {
         state_ = State::complete;
     } else {
-        part_ = Part::untilEnd;
+        bodyPart_ = BodyPart::untilClose;
     }
     return true;
 }
 
 /// One step through the body. False: more bytes are needed, or the state has changed.
-bool Parser::takeBody() {
-    const std::size_t ready = buffer_.size() - at_;
+bool Parser::readBody() {
+    const std::size_t ready = buffer_.size() - consumed_;
     const auto take = [&](std::size_t most) {
         const std::size_t n = std::min(ready, most);
-        if (message_.body.size() + n > limits_.body) return bad(413), false;
-        message_.body.append(buffer_, at_, n);
-        at_ += n;
-        left_ -= std::min(left_, n);
+        if (message_.body.size() + n > limits_.body) return fail(413), false;
+        message_.body.append(buffer_, consumed_, n);
+        consumed_ += n;
+        remaining_ -= std::min(remaining_, n);
         return true;
     };
     std::string_view line;
-    switch (part_) {
-        case Part::length:
-            if (take(left_) && left_ == 0) state_ = State::complete;
+    switch (bodyPart_) {
+        case BodyPart::length:
+            if (take(remaining_) && remaining_ == 0) state_ = State::complete;
             return false;
-        case Part::untilEnd: take(ready); return false;
-        case Part::chunkSize: {
+        case BodyPart::untilClose: take(ready); return false;
+        case BodyPart::chunkSize: {
             if (!readLine(line, limits_.line)) return false;
             const auto digits = line.substr(0, line.find(';'));
             headerBytes_ += line.size() - digits.size();  // extensions: no more of them than of header lines
-            if (headerBytes_ > limits_.headers) return bad(431), false;
+            if (headerBytes_ > limits_.headers) return fail(431), false;
             std::size_t size = 0;
             const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), size, 16);
             if (digits.empty() || error != std::errc{} || end != digits.data() + digits.size())
-                return bad(400), false;
-            if (size > limits_.body) return bad(413), false;
-            left_ = size;
-            part_ = size == 0 ? Part::trailer : Part::chunkData;
+                return fail(400), false;
+            if (size > limits_.body) return fail(413), false;
+            remaining_ = size;
+            bodyPart_ = size == 0 ? BodyPart::trailer : BodyPart::chunkData;
             return true;
         }
-        case Part::chunkData:
-            if (ready == 0 || !take(left_)) return false;
-            if (left_ == 0) part_ = Part::chunkEnd;
+        case BodyPart::chunkData:
+            if (ready == 0 || !take(remaining_)) return false;
+            if (remaining_ == 0) bodyPart_ = BodyPart::chunkEnd;
             return true;
-        case Part::chunkEnd:
+        case BodyPart::chunkEnd:
             if (!readLine(line, limits_.line)) return false;
-            if (!line.empty()) return bad(400), false;
-            part_ = Part::chunkSize;
+            if (!line.empty()) return fail(400), false;
+            bodyPart_ = BodyPart::chunkSize;
             return true;
-        case Part::trailer:
+        case BodyPart::trailer:
             if (!readLine(line, limits_.line)) return false;
             headerBytes_ += line.size() + 2;
-            if (headerBytes_ > limits_.headers) return bad(431), false;
+            if (headerBytes_ > limits_.headers) return fail(431), false;
             if (line.empty()) state_ = State::complete;
             return !line.empty();
     }
     return false;
 }
 
-std::optional<unsigned long long> wholeNumber(std::string_view text, unsigned long long most) {
+std::optional<unsigned long long> parseUnsigned(std::string_view text, unsigned long long most) {
     unsigned long long number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (text.empty() || error != std::errc{} || end != text.data() + text.size() || number > most) return {};
     return number;
 }
 
-std::optional<double> decimal(std::string_view text) {
+std::optional<double> parseDecimal(std::string_view text) {
     double number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return {};
@@ -294,19 +296,19 @@
     return words;
 }
 
-std::string request(std::string_view method, std::string_view target, std::string_view host,
-                    const Fields& fields, std::string_view body) {
+std::string formatRequest(std::string_view method, std::string_view target, std::string_view host,
+                          const Fields& fields, std::string_view body) {
     std::string text;
     text.reserve(512 + body.size());
     text.append(method).append(" ").append(target).append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n");
-    append(text, fields);
+    appendFields(text, fields);
     if (method != "GET") text.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
     return text.append("\r\n").append(body);
 }
 
-std::string response(int status, const Fields& fields, std::string_view body, bool keepAlive) {
-    std::string text = "HTTP/1.1 " + std::to_string(status) + " " + reason(status) + "\r\n";
-    append(text, fields);
+std::string formatResponse(int status, const Fields& fields, std::string_view body, bool keepAlive) {
+    std::string text = "HTTP/1.1 " + std::to_string(status) + " " + reasonPhrase(status) + "\r\n";
+    appendFields(text, fields);
     if (!keepAlive) text += "Connection: close\r\n";
     return text + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + std::string(body);
 }
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -49,9 +49,9 @@
     State finish();
     State state() const { return state_; }
     /// In state bad: the status that says why (400, 413, 431, 501).
-    int refusal() const { return refusal_; }
+    int errorStatus() const { return errorStatus_; }
     /// True once any byte of the message has come.
-    bool begun() const { return state_ != State::head || !first_ || !buffer_.empty(); }
+    bool begun() const { return state_ != State::head || !expectsFirstLine_ || !buffer_.empty(); }
     /// Bytes that came after the end of the message.
     std::size_t leftover() const { return buffer_.size(); }
     /// The message so far; a stream's body may be taken out of it piece by piece.
@@ -60,39 +60,39 @@
     State next();
 
   private:
-    enum class Part { length, untilEnd, chunkSize, chunkData, chunkEnd, trailer };
+    enum class BodyPart { length, untilClose, chunkSize, chunkData, chunkEnd, trailer };
 
-    State run();
-    State bad(int status);
+    State parse();
+    State fail(int status);
     bool readLine(std::string_view& line, std::size_t most);
-    bool firstLine(std::string_view line);
-    bool headerLine(std::string_view line);
-    bool headDone();
-    bool takeBody();
+    bool parseFirstLine(std::string_view line);
+    bool parseHeaderLine(std::string_view line);
+    bool finishHead();
+    bool readBody();
 
     Role role_;
     Limits limits_;
     State state_ = State::head;
-    int refusal_ = 400;
+    int errorStatus_ = 400;
     Message message_;
     std::string buffer_;
-    std::size_t at_ = 0;  // what of the buffer is used up
-    bool first_ = true;
-    std::size_t headerBytes_ = 0, blanks_ = 0;
-    Part part_ = Part::length;
-    std::size_t left_ = 0;
+    std::size_t consumed_ = 0;  // what of the buffer is used up
+    bool expectsFirstLine_ = true;
+    std::size_t headerBytes_ = 0, leadingBlankLines_ = 0;
+    BodyPart bodyPart_ = BodyPart::length;
+    std::size_t remaining_ = 0;
 };
 
 /// The digits and nothing else; nothing where it is more than `most`.
-std::optional<unsigned long long> wholeNumber(std::string_view text, unsigned long long most);
+std::optional<unsigned long long> parseUnsigned(std::string_view text, unsigned long long most);
 /// Whole or decimal, not negative, as Retry-After has it here.
-std::optional<double> decimal(std::string_view text);
+std::optional<double> parseDecimal(std::string_view text);
 /// The words between the separators, with blanks trimmed.
 std::vector<std::string_view> split(std::string_view text, std::string_view separators);
 
 using Fields = std::vector<std::pair<std::string_view, std::string>>;
-std::string request(std::string_view method, std::string_view target, std::string_view host,
-                    const Fields& fields, std::string_view body);
-std::string response(int status, const Fields& fields, std::string_view body, bool keepAlive);
+std::string formatRequest(std::string_view method, std::string_view target, std::string_view host,
+                          const Fields& fields, std::string_view body);
+std::string formatResponse(int status, const Fields& fields, std::string_view body, bool keepAlive);
 
 }  // namespace laurelhaven::http
--- a/src/kept/kept.cpp
+++ b/src/kept/kept.cpp
@@ -65,7 +65,8 @@
     entry.refutation = static_cast<RefutationReason>(refutation);
     if (entry.refutation == RefutationReason::none) entry.suspended = false;
     // A tombstone needs no address; an endpoint that may get requests does.
-    return entry.refutation != RefutationReason::none || net::address(entry.endpoint.address).has_value();
+    return entry.refutation != RefutationReason::none ||
+           net::parseAddress(entry.endpoint.address).has_value();
 }
 
 }  // namespace
--- a/src/listing/listing.cpp
+++ b/src/listing/listing.cpp
@@ -27,7 +27,7 @@
     else if (status == "DELETED") endpoint.status = Status::deleted;
     else return false;
     const bool deleted = endpoint.status == Status::deleted;
-    if (!deleted && (!readString(entry, "address", endpoint.address) || !net::address(endpoint.address)))
+    if (!deleted && (!readString(entry, "address", endpoint.address) || !net::parseAddress(endpoint.address)))
         return false;
     readString(entry, "zone", endpoint.zone);
     readString(entry, "type", endpoint.type);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 std::atomic<Format> shape{Format::text};
-constexpr const char* kNames[] = {"debug", "info", "warning", "error", "off"};
+constexpr const char* kLevelNames[] = {"debug", "info", "warning", "error", "off"};
 constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
                                                  spdlog::level::warn, spdlog::level::err, spdlog::level::off};
 
@@ -36,16 +36,16 @@
 
 }  // namespace
 
-void setLevel(Level least) { logger().set_level(kLevels[static_cast<int>(least)]); }
+void setLevel(Level minimum) { logger().set_level(kLevels[static_cast<int>(minimum)]); }
 
 void setFormat(Format format) {
     shape = format;
     logger().set_pattern(format == Format::json ? R"({"time":%E.%e,"level":"%l",%v})" : "%E.%e %l %v");
 }
 
-std::optional<Level> level(std::string_view word) {
+std::optional<Level> parseLevel(std::string_view word) {
     for (int i = 0; i < 5; ++i)
-        if (word == kNames[i]) return static_cast<Level>(i);
+        if (word == kLevelNames[i]) return static_cast<Level>(i);
     return {};
 }
 
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -16,10 +16,10 @@
 enum class Format { text, json };
 
 /// Lines below this level are dropped.
-void setLevel(Level least);
+void setLevel(Level minimum);
 void setFormat(Format format);
 /// Nothing where the word names no level.
-std::optional<Level> level(std::string_view word);
+std::optional<Level> parseLevel(std::string_view word);
 bool enabled(Level level);
 
 /// One line: gathered, and written whole when the object goes.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -354,7 +354,7 @@
     if (version || versionWord->parsed()) return std::cout << kVersion << '\n', 0;
     if (plan->parsed()) return planning(plan->remaining());
     auto own = settings::fromFile(settingsPath);
-    if (!level.empty()) own.level = *log::level(level);
+    if (!level.empty()) own.level = *log::parseLevel(level);
     if (format == "json") own.format = log::Format::json;
     if (format == "text") own.format = log::Format::text;
     log::setLevel(own.level);
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -16,10 +16,10 @@
 namespace laurelhaven::net {
 namespace {
 
-constexpr std::chrono::milliseconds kSocketPause{20};  // before a socket is asked for again
+constexpr std::chrono::milliseconds kSocketRetryPause{20};  // before a socket is asked for again
 
 /// Waits for any of these events. False when the time is up first.
-bool ready(int fd, short events, Deadline until) {
+bool waitForEvents(int fd, short events, Deadline until) {
     pollfd wait{fd, events, 0};
     for (;;) {
         const auto left =
@@ -39,7 +39,7 @@
     fd_ = -1;
 }
 
-std::optional<Address> address(std::string_view text) {
+std::optional<Address> parseAddress(std::string_view text) {
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos) return {};
     Address found;
@@ -49,9 +49,9 @@
     unsigned number = 0;
     const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), number);
     if (error != std::errc{} || end != port.data() + port.size() || number > 65535) return {};
-    found.at.sin_family = AF_INET;
-    found.at.sin_port = htons(static_cast<std::uint16_t>(number));
-    if (inet_pton(AF_INET, host.c_str(), &found.at.sin_addr) != 1) return {};
+    found.socketAddress.sin_family = AF_INET;
+    found.socketAddress.sin_port = htons(static_cast<std::uint16_t>(number));
+    if (inet_pton(AF_INET, host.c_str(), &found.socketAddress.sin_addr) != 1) return {};
     return found;
 }
 
@@ -64,46 +64,49 @@
 
 ConnectStart beginConnect(int fd, const Address& to) {
     fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK);
-    if (connect(fd, reinterpret_cast<const sockaddr*>(&to.at), sizeof to.at) == 0) return ConnectStart::begun;
+    if (connect(fd, reinterpret_cast<const sockaddr*>(&to.socketAddress), sizeof to.socketAddress) == 0)
+        return ConnectStart::started;
     switch (errno) {
         case EINPROGRESS:
-        case EINTR: return ConnectStart::begun;
+        case EINTR: return ConnectStart::started;
         case ECONNREFUSED:
         case ECONNRESET:
         case ETIMEDOUT:
         case EHOSTUNREACH: return ConnectStart::refused;
-        default: return ConnectStart::local;
+        default: return ConnectStart::localFailure;
     }
 }
 
-bool connected(int fd, Deadline until) {
+bool finishConnect(int fd, Deadline until) {
     int error = 0;
     socklen_t size = sizeof error;
-    if (!ready(fd, POLLOUT, until) || getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0)
+    if (!waitForEvents(fd, POLLOUT, until) || getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 ||
+        error != 0)
         return false;
     return fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) & ~O_NONBLOCK) == 0;
 }
 
-Fd listenOn(const Address& at, int backlog, std::chrono::milliseconds patience) {
+Fd listenOn(const Address& at, int backlog, std::chrono::milliseconds retryFor) {
     const auto fail = [&](const char* what) {
         throw std::system_error(errno, std::generic_category(), std::string(what) + " " + at.text);
     };
-    const auto until = Steady::now() + patience;
+    const auto until = Steady::now() + retryFor;
     Fd fd;
     for (;;) {
         fd = Fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         if (fd) break;
         if (Steady::now() >= until) fail("socket for");
-        std::this_thread::sleep_for(kSocketPause);
+        std::this_thread::sleep_for(kSocketRetryPause);
     }
     const int on = 1;
     setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (bind(fd.get(), reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at) != 0) fail("cannot bind");
+    if (bind(fd.get(), reinterpret_cast<const sockaddr*>(&at.socketAddress), sizeof at.socketAddress) != 0)
+        fail("cannot bind");
     if (listen(fd.get(), backlog) != 0) fail("cannot listen on");
     return fd;
 }
 
-int portOf(int fd) {
+int localPort(int fd) {
     sockaddr_in at{};
     socklen_t size = sizeof at;
     if (getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0) return 0;
@@ -113,45 +116,45 @@
 // Danger: the kernel keeps limits set by SO_RCVTIMEO and SO_SNDTIMEO in coarse steps that grow with the span,
 // and ends a call up to an eighth of it late; the end of a message whose call hangs would come too late. A
 // wait in poll() ends in time.
-Io sendAll(int fd, std::string_view bytes, Deadline until) {
+IoResult sendAll(int fd, std::string_view bytes, Deadline until) {
     while (!bytes.empty()) {
-        if (Steady::now() >= until) return Io::timedOut;
+        if (Steady::now() >= until) return IoResult::timedOut;
         const auto sent = send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
         if (sent > 0) bytes.remove_prefix(static_cast<std::size_t>(sent));
-        else if (sent < 0 && errno != EINTR && !wouldBlock()) return Io::broken;
-        else if (!ready(fd, POLLOUT, until)) return Io::timedOut;
+        else if (sent < 0 && errno != EINTR && !wouldBlock()) return IoResult::broken;
+        else if (!waitForEvents(fd, POLLOUT, until)) return IoResult::timedOut;
     }
-    return Io::done;
+    return IoResult::done;
 }
 
-Io receive(int fd, std::string& into, Deadline until) {
+IoResult receive(int fd, std::string& into, Deadline until) {
     char bytes[4096];  // on the stack of each of many threads
     while (Steady::now() < until) {
-        if (!waitReadable(fd, until)) return Io::timedOut;
+        if (!waitReadable(fd, until)) return IoResult::timedOut;
         const auto got = recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
         if (got > 0) {
             into.append(bytes, static_cast<std::size_t>(got));
-            return Io::done;
+            return IoResult::done;
         }
-        if (got == 0) return Io::closed;
-        if (errno != EINTR && !wouldBlock()) return Io::broken;
+        if (got == 0) return IoResult::closed;
+        if (errno != EINTR && !wouldBlock()) return IoResult::broken;
     }
-    return Io::timedOut;
+    return IoResult::timedOut;
 }
 
-bool waitReadable(int fd, Deadline until) { return ready(fd, POLLIN | POLLRDHUP, until); }
+bool waitReadable(int fd, Deadline until) { return waitForEvents(fd, POLLIN | POLLRDHUP, until); }
 
-Unread unread(int fd) {
+UnreadState unreadState(int fd) {
     char byte;
     for (;;) {
         const auto got = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        if (got > 0) return Unread::bytes;
-        if (got == 0) return Unread::end;
-        if (errno != EINTR) return wouldBlock() ? Unread::nothing : Unread::broken;
+        if (got > 0) return UnreadState::bytes;
+        if (got == 0) return UnreadState::end;
+        if (errno != EINTR) return wouldBlock() ? UnreadState::nothing : UnreadState::broken;
     }
 }
 
-bool waits(int listener) {
+bool hasPendingConnection(int listener) {
     pollfd look{listener, POLLIN, 0};
     int found = -1;
     do {
@@ -177,8 +180,8 @@
     }
 }
 
-void shut(int fd) { shutdown(fd, SHUT_RDWR); }
-void shutReading(int fd) { shutdown(fd, SHUT_RD); }
-void shutWriting(int fd) { shutdown(fd, SHUT_WR); }
+void shutdownBoth(int fd) { shutdown(fd, SHUT_RDWR); }
+void shutdownRead(int fd) { shutdown(fd, SHUT_RD); }
+void shutdownWrite(int fd) { shutdown(fd, SHUT_WR); }
 
 }  // namespace laurelhaven::net
--- a/src/notices/notices.cpp
+++ b/src/notices/notices.cpp
@@ -103,7 +103,7 @@
 
 // A notice whose answer was cut off by a move is told again at the new address: told twice does no harm.
 Notices::Answer Notices::post(const discovery::Location& location, const std::string& body) {
-    if (fd_ && (at_ != location.address.text || !net::quiet(fd_.get()))) fd_.reset();
+    if (fd_ && (at_ != location.address.text || !net::isIdle(fd_.get()))) fd_.reset();
     const bool warm = static_cast<bool>(fd_);
     if (!warm) fd_ = net::tcpSocket();
     at_ = location.address.text;
@@ -117,16 +117,18 @@
                                   bool& keep) {
     const int fd = fd_.get();
     const auto until = net::Steady::now() + kAnswer;
-    const auto start = warm ? net::ConnectStart::begun : net::beginConnect(fd, location.address);
-    if (start == net::ConnectStart::local) return Answer::local;
-    if (start != net::ConnectStart::begun) return Answer::none;
-    const std::stop_callback shutIt(location.moved, [fd] { net::shut(fd); });
-    if (!warm && !net::connected(fd, until)) return Answer::none;
-    if (net::sendAll(fd, http::request("POST", "/v1/notices", at_, {}, body), until) != net::Io::done)
+    const auto start = warm ? net::ConnectStart::started : net::beginConnect(fd, location.address);
+    if (start == net::ConnectStart::localFailure) return Answer::local;
+    if (start != net::ConnectStart::started) return Answer::none;
+    const std::stop_callback shutIt(location.moved, [fd] { net::shutdownBoth(fd); });
+    if (!warm && !net::finishConnect(fd, until)) return Answer::none;
+    if (net::sendAll(fd, http::formatRequest("POST", "/v1/notices", at_, {}, body), until) !=
+        net::IoResult::done)
         return Answer::none;
     http::Parser parser(http::Parser::Role::response);
     for (std::string got; parser.state() != http::Parser::State::complete; got.clear())
-        if (net::receive(fd, got, until) != net::Io::done || parser.feed(got) == http::Parser::State::bad)
+        if (net::receive(fd, got, until) != net::IoResult::done ||
+            parser.feed(got) == http::Parser::State::bad)
             return Answer::none;
     keep = parser.message().keepsAlive();
     const int status = parser.message().status;
--- a/src/registry/registry.cpp
+++ b/src/registry/registry.cpp
@@ -218,19 +218,19 @@
     if (!fd) return {};
     const int raw = fd.get();
     const auto until = net::Steady::now() + kConnectTimeout;
-    if (net::beginConnect(raw, location.address) != net::ConnectStart::begun) return {};
-    const auto shut = [raw] { net::shut(raw); };
+    if (net::beginConnect(raw, location.address) != net::ConnectStart::started) return {};
+    const auto shut = [raw] { net::shutdownBoth(raw); };
     const std::stop_callback whenStopped(stopped, shut), whenMoved(location.moved, shut);
-    if (!net::connected(raw, until)) return {};
-    const auto request = http::request("GET", "/registry/instances", location.address.text, {}, {});
-    if (net::sendAll(raw, request, until) != net::Io::done) return {};
+    if (!net::finishConnect(raw, until)) return {};
+    const auto request = http::formatRequest("GET", "/registry/instances", location.address.text, {}, {});
+    if (net::sendAll(raw, request, until) != net::IoResult::done) return {};
     http::Limits limits;
     limits.body = options_.longestLine;
     http::Parser parser(http::Parser::Role::response, limits);
     const auto last = net::Steady::now() + kSilenceTimeout;
     while (parser.state() != http::Parser::State::complete && parser.state() != http::Parser::State::bad) {
         std::string bytes;
-        if (net::receive(raw, bytes, last) != net::Io::done) break;
+        if (net::receive(raw, bytes, last) != net::IoResult::done) break;
         parser.feed(bytes);
     }
     if (parser.state() != http::Parser::State::complete && parser.finish() != http::Parser::State::complete) {
@@ -256,13 +256,13 @@
     net::Fd fd = net::tcpSocket();
     if (!fd) return WatchResult::failed;
     const int raw = fd.get();
-    if (net::beginConnect(raw, location.address) != net::ConnectStart::begun) return WatchResult::failed;
-    const auto shut = [raw] { net::shut(raw); };
+    if (net::beginConnect(raw, location.address) != net::ConnectStart::started) return WatchResult::failed;
+    const auto shut = [raw] { net::shutdownBoth(raw); };
     const std::stop_callback whenStopped(stopped, shut), whenMoved(location.moved, shut);
-    if (!net::connected(raw, net::Steady::now() + kConnectTimeout)) return WatchResult::failed;
+    if (!net::finishConnect(raw, net::Steady::now() + kConnectTimeout)) return WatchResult::failed;
     const auto target = "/registry/instances?watch=1&after=" + std::to_string(roster_.index());
-    const auto request = http::request("GET", target, location.address.text, {}, {});
-    if (net::sendAll(raw, request, net::Steady::now() + kConnectTimeout) != net::Io::done)
+    const auto request = http::formatRequest("GET", target, location.address.text, {}, {});
+    if (net::sendAll(raw, request, net::Steady::now() + kConnectTimeout) != net::IoResult::done)
         return WatchResult::failed;
     http::Limits limits;
     limits.body = options_.longestLine;
@@ -285,14 +285,14 @@
             if (merged) verified = true;
             fetching = false;
             // The stream was requested after an index that no longer applies.
-            if (merged && (reconnectAfter || *merged == Kind::lostHistory)) net::shut(raw);
+            if (merged && (reconnectAfter || *merged == Kind::lostHistory)) net::shutdownBoth(raw);
         };
         try {
             fetcher = threads::Thread("whole list", fetchTask);
         } catch (const std::system_error& e) {
             // The numbering of this watch stays unverified, so it ends, and the next one tries again.
             log::warning() << "registry: can't start a thread to fetch the full list: " << e.what();
-            net::shut(raw);
+            net::shutdownBoth(raw);
         }
     };
     const auto onList = [&](const listing::EndpointList& list) {
@@ -306,8 +306,8 @@
     auto silenceDeadline = net::Steady::now() + kSilenceTimeout;
     for (std::string bytes; !stopped.stop_requested() && !location.moved.stop_requested(); bytes.clear()) {
         const auto io = net::receive(raw, bytes, silenceDeadline);
-        if (io != net::Io::done) {
-            silent = io == net::Io::timedOut;
+        if (io != net::IoResult::done) {
+            silent = io == net::IoResult::timedOut;
             break;
         }
         const auto state = parser.feed(bytes);
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -383,22 +383,23 @@
     int status = 0;
     bool unexpectedServer = false;
     const auto deadline = net::Steady::now() + options_.probeTimeout;
-    if (const auto parsed = net::address(address)) {
+    if (const auto parsed = net::parseAddress(address)) {
         net::Fd fd = net::tcpSocket();
         const int raw = fd.get();
-        const bool begun = fd && net::beginConnect(raw, *parsed) == net::ConnectStart::begun;
-        const std::stop_callback shut(stop_.get_token(), [raw] { net::shut(raw); });
-        const auto request = http::request("GET", "/health/live", address, {{"Connection", "close"}}, {});
-        const bool connected = begun && net::connected(raw, deadline);
+        const bool begun = fd && net::beginConnect(raw, *parsed) == net::ConnectStart::started;
+        const std::stop_callback shut(stop_.get_token(), [raw] { net::shutdownBoth(raw); });
+        const auto request =
+            http::formatRequest("GET", "/health/live", address, {{"Connection", "close"}}, {});
+        const bool connected = begun && net::finishConnect(raw, deadline);
         if (connected && !probeStillAllowed(endpoint, address)) return;
-        if (connected && net::sendAll(raw, request, deadline) == net::Io::done) {
+        if (connected && net::sendAll(raw, request, deadline) == net::IoResult::done) {
             http::Parser parser(http::Parser::Role::response);
             std::size_t bytes = 0;
             for (std::string chunk;
                  parser.state() != http::Parser::State::complete &&
                  parser.state() != http::Parser::State::bad && bytes < kMaxProbeResponseBytes;
                  chunk.clear()) {
-                if (net::receive(raw, chunk, deadline) != net::Io::done) break;
+                if (net::receive(raw, chunk, deadline) != net::IoResult::done) break;
                 bytes += chunk.size();
                 parser.feed(chunk);
                 while (parser.state() == http::Parser::State::complete && parser.message().status < 200)
@@ -412,7 +413,7 @@
             if (const auto* load = parser.message().headers.find("Srv-Load"); load && weight > 0) {
                 for (const auto part : http::split(*load, ",")) {
                     if (part.substr(0, 3) != "x1=") continue;
-                    const auto announced = http::decimal(part.substr(3));
+                    const auto announced = http::parseDecimal(part.substr(3));
                     if (announced && *announced > 0)
                         unexpectedServer = *announced > weight * options_.strangerFactor ||
                                            *announced < weight / options_.strangerFactor;
--- a/src/rules/connection_rules.cpp
+++ b/src/rules/connection_rules.cpp
@@ -52,11 +52,11 @@
 //
 // Sending ended by the client: it may still wait for the answer, but can't be distinguished from one that has
 // given up, whose message would be delivered for nothing. So it is asked to retry.
-RequestDisposition requestDisposition(std::size_t leftover, net::Unread unread, bool askedToClose) {
-    if (leftover > 0 || unread == net::Unread::bytes) return RequestDisposition::rejectTrailingBytes;
-    if (unread == net::Unread::broken) return RequestDisposition::drop;
-    return unread == net::Unread::end && !askedToClose ? RequestDisposition::askToRetry
-                                                       : RequestDisposition::answer;
+RequestDisposition requestDisposition(std::size_t leftover, net::UnreadState unread, bool askedToClose) {
+    if (leftover > 0 || unread == net::UnreadState::bytes) return RequestDisposition::rejectTrailingBytes;
+    if (unread == net::UnreadState::broken) return RequestDisposition::drop;
+    return unread == net::UnreadState::end && !askedToClose ? RequestDisposition::askToRetry
+                                                            : RequestDisposition::answer;
 }
 
 }  // namespace laurelhaven::rules
--- a/src/rules/connection_rules.hpp
+++ b/src/rules/connection_rules.hpp
@@ -40,6 +40,6 @@
 };
 /// `leftover`: number of bytes read after the request. `unread`: what the socket holds now. `askedToClose`:
 /// this side has ended reading on the connection.
-RequestDisposition requestDisposition(std::size_t leftover, net::Unread unread, bool askedToClose);
+RequestDisposition requestDisposition(std::size_t leftover, net::UnreadState unread, bool askedToClose);
 
 }  // namespace laurelhaven::rules
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -17,7 +17,7 @@
         discovery(root, "discovery"), probes(root, "probes"), capture(root, "capture");
     std::string level, format;
     log.plain("level", level).plain("format", format);
-    if (!level.empty()) s.level = *log::level(level);
+    if (!level.empty()) s.level = *log::parseLevel(level);
     if (format == "json") s.format = log::Format::json;
     auto& members = s.roster.membership;
     kept.plain("enabled", s.roster.saveList)
--- a/src/threads/thread.cpp
+++ b/src/threads/thread.cpp
@@ -14,9 +14,9 @@
 // Hundreds of threads must fit into the sender's memory. Only what is touched counts; the sanitizers' frames
 // are wider.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::size_t kStack = 1024 * 1024;
+constexpr std::size_t kStackBytes = 1024 * 1024;
 #else
-constexpr std::size_t kStack = 192 * 1024;
+constexpr std::size_t kStackBytes = 192 * 1024;
 #endif
 
 struct Start {
@@ -44,7 +44,7 @@
     auto start = std::make_unique<Start>(Start{name, std::move(body)});
     pthread_attr_t attributes;
     pthread_attr_init(&attributes);
-    pthread_attr_setstacksize(&attributes, kStack);
+    pthread_attr_setstacksize(&attributes, kStackBytes);
     const int error = pthread_create(&handle_, &attributes, run, start.get());
     pthread_attr_destroy(&attributes);
     if (error) throw std::system_error(error, std::generic_category(), "thread " + name);
--- a/tests/delivery/local_failures_test.cpp
+++ b/tests/delivery/local_failures_test.cpp
@@ -93,7 +93,7 @@
 TEST(LocalFailuresOfNotices, DoNotMakeAnEndLate) {
     log::setLevel(log::Level::off);
     Platform platform;
-    const discovery::Discovery place(*net::address(platform.stub.at()));
+    const discovery::Discovery place(*net::parseAddress(platform.stub.at()));
     std::atomic<bool> heard{false};
     notices::Notices notices(place, [&](const std::vector<std::string>&) { heard = true; });
     failWith = EADDRNOTAVAIL;
--- a/tests/front/turn_away_test.cpp
+++ b/tests/front/turn_away_test.cpp
@@ -59,7 +59,7 @@
     }
     net::Fd connect() {
         net::Fd fd = net::tcpSocket();
-        const auto at = net::address("127.0.0.1:" + std::to_string(front_.port()));
+        const auto at = net::parseAddress("127.0.0.1:" + std::to_string(front_.port()));
         EXPECT_TRUE(net::connectBy(fd.get(), *at, soon()));
         return fd;
     }
@@ -69,7 +69,7 @@
         const auto fd = connect();
         http::Parser parser(http::Parser::Role::response);
         for (std::string got; parser.state() != http::Parser::State::complete; got.clear()) {
-            if (net::receive(fd.get(), got, soon()) != net::Io::done) return 0;
+            if (net::receive(fd.get(), got, soon()) != net::IoResult::done) return 0;
             parser.feed(got);
         }
         return parser.message().status;
--- a/tests/kept/kept_test.cpp
+++ b/tests/kept/kept_test.cpp
@@ -149,7 +149,8 @@
         const auto loaded = kept::parse(damaged, "n0", kNow);
         EXPECT_LE(loaded.list.entries.size(), 20u);
         for (const auto& [name, e] : loaded.list.entries)
-            EXPECT_TRUE(e.refutation != trust::RefutationReason::none || net::address(e.endpoint.address));
+            EXPECT_TRUE(e.refutation != trust::RefutationReason::none ||
+                        net::parseAddress(e.endpoint.address));
     }
 }
 
--- a/tests/lab/faults_test.cpp
+++ b/tests/lab/faults_test.cpp
@@ -80,7 +80,7 @@
 
   private:
     bool call(const http::Message& message, Connection& connection) {
-        if (message.target != "/hook") return connection.send(http::response(200, {}, "", true));
+        if (message.target != "/hook") return connection.send(http::formatResponse(200, {}, "", true));
         CallRecord record;
         record.begun = Steady::now();
         record.endpoint = name_;
@@ -109,8 +109,8 @@
                 waitFrom_ = Steady::now();
                 waitUntil_ = waitFrom_ + milliseconds(static_cast<int>(1000 * std::stod(value)));
             }
-            keep =
-                connection.send(act.raw.empty() ? http::response(act.status, act.fields, "", true) : act.raw);
+            keep = connection.send(act.raw.empty() ? http::formatResponse(act.status, act.fields, "", true)
+                                                   : act.raw);
             if (keep && act.status == 200 && act.raw.empty()) {
                 const std::lock_guard lock(mutex_);
                 delivered_.insert(record.id);
@@ -169,15 +169,15 @@
         ledger.expect(id, "k-" + id, 7);
         net::Fd fd = net::tcpSocket();
         const auto until = Steady::now() + kHang;
-        if (!net::connectBy(fd.get(), *net::address(sender->plan().listen), until)) return {};
-        const auto text = http::request("POST", "/notice", "s",
-                                        {{"Req-Id", id},
-                                         {"Req-Kind", "notice"},
-                                         {"Req-Owner", "acme"},
-                                         {"Req-Deadline-Ms", std::to_string(deadline.count())},
-                                         {"Idempotency-Key", "k-" + id},
-                                         {"X-Route-To", "dest=7"}},
-                                        body);
+        if (!net::connectBy(fd.get(), *net::parseAddress(sender->plan().listen), until)) return {};
+        const auto text = http::formatRequest("POST", "/notice", "s",
+                                              {{"Req-Id", id},
+                                               {"Req-Kind", "notice"},
+                                               {"Req-Owner", "acme"},
+                                               {"Req-Deadline-Ms", std::to_string(deadline.count())},
+                                               {"Idempotency-Key", "k-" + id},
+                                               {"X-Route-To", "dest=7"}},
+                                              body);
         net::sendAll(fd.get(), text, until);
         return fd;
     }
@@ -186,7 +186,7 @@
         const auto fd = send(id, deadline, body);
         http::Parser parser(http::Parser::Role::response);
         for (std::string got; fd && parser.state() != http::Parser::State::complete; got.clear()) {
-            if (net::receive(fd.get(), got, Steady::now() + kHang) != net::Io::done) break;
+            if (net::receive(fd.get(), got, Steady::now() + kHang) != net::IoResult::done) break;
             parser.feed(got);
         }
         const int status = parser.state() == http::Parser::State::complete ? parser.message().status : 0;
@@ -325,7 +325,7 @@
     const auto at = check::freeAddress();
     std::atomic<int> broken{0};
     std::thread breaker([&] {
-        const auto listener = net::listenOn(*net::address(at), 16);
+        const auto listener = net::listenOn(*net::parseAddress(at), 16);
         const int small = 4096;
         setsockopt(listener.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
         while (broken < 3 && net::waitReadable(listener.get(), Steady::now() + kHang)) {
@@ -497,7 +497,7 @@
     std::vector<net::Fd> queued;
     net::Fd full;
     if (!stage.listens) {  // its queue is full: a connect gets no answer at all
-        const auto address = *net::address(a.server().address());
+        const auto address = *net::parseAddress(a.server().address());
         a.server().stop();
         full = net::listenOn(address, 0);
         for (int i = 0; i < 4; ++i) {
--- a/tests/lab/load_test.cpp
+++ b/tests/lab/load_test.cpp
@@ -41,7 +41,7 @@
         : server(address(), [this, decide](const http::Message& m, lab::Connection& c) {
               const auto* id = m.headers.find("Req-Id");
               const auto* key = m.headers.find("Idempotency-Key");
-              if (!id || !key) return c.send(http::response(400, {}, "", true)) && false;
+              if (!id || !key) return c.send(http::formatResponse(400, {}, "", true)) && false;
               {
                   const std::lock_guard lock(mutex);
                   ids.insert(*id);
@@ -53,7 +53,7 @@
               if (status < 0) return false;                 // closes without a word
               http::Fields fields;
               if (status == 503) fields.emplace_back("Retry-After", "0.01");
-              return c.send(http::response(status, fields, "", true));
+              return c.send(http::formatResponse(status, fields, "", true));
           }) {
         server.start();
     }
@@ -133,7 +133,7 @@
     lab::Server server(address(), [&](const http::Message&, lab::Connection& c) {
         // Every answer promises to keep the connection, and none does.
         ++answers;
-        return c.send(http::response(202, {}, "", true)) && false;
+        return c.send(http::formatResponse(202, {}, "", true)) && false;
     });
     server.start();
     load::Options options;
--- a/tests/lab/standin_test.cpp
+++ b/tests/lab/standin_test.cpp
@@ -25,16 +25,16 @@
 Answer ask(const std::string& address, const std::string& request) {
     const auto until = net::Steady::now() + std::chrono::seconds(10);
     net::Fd fd = net::tcpSocket();
-    if (!net::connectBy(fd.get(), *net::address(address), until)) return {};
+    if (!net::connectBy(fd.get(), *net::parseAddress(address), until)) return {};
     net::sendAll(fd.get(), request, until);
     http::Parser parser(http::Parser::Role::response);
-    for (std::string got; net::receive(fd.get(), got, until) == net::Io::done; got.clear())
+    for (std::string got; net::receive(fd.get(), got, until) == net::IoResult::done; got.clear())
         if (parser.feed(got) == http::Parser::State::complete) break;
     return {parser.message().status, parser.message().body, parser.message().headers};
 }
 
 std::string call(const std::string& id, const std::string& address) {
-    return http::request("POST", "/hook", address, {{"Req-Id", id}, {"Idempotency-Key", "k"}}, "body");
+    return http::formatRequest("POST", "/hook", address, {{"Req-Id", id}, {"Idempotency-Key", "k"}}, "body");
 }
 
 struct Rig {
@@ -100,10 +100,10 @@
     ASSERT_TRUE(first.headers.find("Srv-Load"));
     EXPECT_NE(first.headers.find("Srv-Load")->find("x1=3.000"), std::string::npos);
     EXPECT_EQ(ask(rig.at, call("other", rig.at)).status, 400);
-    EXPECT_EQ(ask(rig.at, http::request("GET", "/health/live", rig.at, {}, {})).status, 200);
+    EXPECT_EQ(ask(rig.at, http::formatRequest("GET", "/health/live", rig.at, {}, {})).status, 200);
     rig.partner->drain("a");
     EXPECT_EQ(ask(rig.at, call("m", rig.at)).status, 503);
-    EXPECT_EQ(ask(rig.at, http::request("GET", "/health/live", rig.at, {}, {})).status, 503);
+    EXPECT_EQ(ask(rig.at, http::formatRequest("GET", "/health/live", rig.at, {}, {})).status, 503);
     EXPECT_EQ(rig.ledger.counts().probes.at(7), 2u);
     rig.partner->close("a");
     EXPECT_EQ(ask(rig.at, call("m", rig.at)).status, 0);
@@ -128,14 +128,14 @@
     rig.model.capacity = 10;
     rig.make();
     rig.partner->coolDown();
-    for (int i = 0; i < 20; ++i) ask(rig.at, http::request("GET", "/health/live", rig.at, {}, {}));
+    for (int i = 0; i < 20; ++i) ask(rig.at, http::formatRequest("GET", "/health/live", rig.at, {}, {}));
     EXPECT_TRUE(rig.partner->fallen());
     EXPECT_EQ(rig.ledger.counts().fallOvers, 1u);
-    EXPECT_EQ(ask(rig.at, http::request("GET", "/health/live", rig.at, {}, {})).status, 503);
+    EXPECT_EQ(ask(rig.at, http::formatRequest("GET", "/health/live", rig.at, {}, {})).status, 503);
     Rig warm;
     warm.model.capacity = 10;
     warm.make();
-    for (int i = 0; i < 40; ++i) ask(warm.at, http::request("GET", "/health/live", warm.at, {}, {}));
+    for (int i = 0; i < 40; ++i) ask(warm.at, http::formatRequest("GET", "/health/live", warm.at, {}, {}));
     EXPECT_FALSE(warm.partner->fallen());
 }
 
@@ -147,7 +147,7 @@
     const auto at = discovery.address();
     const auto whole = [&] {
         std::string why;
-        const auto answer = ask(at, http::request("GET", "/registry/instances", at, {}, {}));
+        const auto answer = ask(at, http::formatRequest("GET", "/registry/instances", at, {}, {}));
         return listing::parse(answer.body, why);
     };
     ASSERT_TRUE(whole());
@@ -165,15 +165,16 @@
     discovery.setMode(Discovery::Mode::cut);
     EXPECT_FALSE(whole());
     discovery.setMode(Discovery::Mode::refusing);
-    EXPECT_EQ(ask(at, http::request("GET", "/registry/instances", at, {}, {})).status, 0);
+    EXPECT_EQ(ask(at, http::formatRequest("GET", "/registry/instances", at, {}, {})).status, 0);
     discovery.setMode(Discovery::Mode::up);
     discovery.loseHistory();
     EXPECT_EQ(whole()->index, 2u);
     EXPECT_EQ(
-        ask(at, http::request("POST", "/v1/notices", at, {}, "{\"id\":\"m\",\"state\":\"failed\"}\n")).status,
+        ask(at, http::formatRequest("POST", "/v1/notices", at, {}, "{\"id\":\"m\",\"state\":\"failed\"}\n"))
+            .status,
         204);
     EXPECT_EQ(discovery.notices().at("m").state, "failed");
-    EXPECT_EQ(ask(at, http::request("POST", "/v1/notices", at, {}, "nonsense\n")).status, 400);
+    EXPECT_EQ(ask(at, http::formatRequest("POST", "/v1/notices", at, {}, "nonsense\n")).status, 400);
 }
 
 }  // namespace
--- a/tests/laurelhaven/parser_test.cpp
+++ b/tests/laurelhaven/parser_test.cpp
@@ -28,7 +28,7 @@
 
 int refusal(const std::string& text, http::Limits limits = {}) {
     Parser parser(Parser::Role::request, limits);
-    return parser.feed(text) == State::bad ? parser.refusal() : 0;
+    return parser.feed(text) == State::bad ? parser.errorStatus() : 0;
 }
 
 void cutsGiveWhatTheWholeGives() {
@@ -248,17 +248,19 @@
 // A request that came whole is answered, though we ended the reading; one whose client has gone may come
 // again.
 void whatCameWholeIsAnswered() {
-    using net::Unread;
+    using net::UnreadState;
     using rules::RequestDisposition;
     for (const bool told : {false, true}) {
-        CHECK(rules::requestDisposition(0, Unread::nothing, told) == RequestDisposition::answer);
-        CHECK(rules::requestDisposition(0, Unread::bytes, told) == RequestDisposition::rejectTrailingBytes);
-        CHECK(rules::requestDisposition(3, Unread::end, told) == RequestDisposition::rejectTrailingBytes);
+        CHECK(rules::requestDisposition(0, UnreadState::nothing, told) == RequestDisposition::answer);
+        CHECK(rules::requestDisposition(0, UnreadState::bytes, told) ==
+              RequestDisposition::rejectTrailingBytes);
+        CHECK(rules::requestDisposition(3, UnreadState::end, told) ==
+              RequestDisposition::rejectTrailingBytes);
     }
-    CHECK(rules::requestDisposition(0, Unread::end, false) == RequestDisposition::askToRetry);
-    CHECK(rules::requestDisposition(0, Unread::broken, false) == RequestDisposition::drop);
-    CHECK(rules::requestDisposition(0, Unread::broken, true) == RequestDisposition::drop);
-    CHECK(rules::requestDisposition(0, Unread::end, true) == RequestDisposition::answer);
+    CHECK(rules::requestDisposition(0, UnreadState::end, false) == RequestDisposition::askToRetry);
+    CHECK(rules::requestDisposition(0, UnreadState::broken, false) == RequestDisposition::drop);
+    CHECK(rules::requestDisposition(0, UnreadState::broken, true) == RequestDisposition::drop);
+    CHECK(rules::requestDisposition(0, UnreadState::end, true) == RequestDisposition::answer);
 }
 
 void badConfigurationIsNamed() {
--- a/tests/laurelhaven/places.hpp
+++ b/tests/laurelhaven/places.hpp
@@ -23,7 +23,7 @@
     for (;;) {
         const int port = kFirst + next++ % kPorts;
         try {
-            return net::portOf(net::listenOn(*net::address(local(port)), 1).get());
+            return net::localPort(net::listenOn(*net::parseAddress(local(port)), 1).get());
         } catch (const std::system_error&) {
             // Somebody has it.
         }
--- a/tests/laurelhaven/program.hpp
+++ b/tests/laurelhaven/program.hpp
@@ -44,19 +44,19 @@
   public:
     using Answer = std::function<std::string(http::Message&)>;
     explicit Stub(Answer answer)
-        : answer_(std::move(answer)), listener_(net::listenOn(*net::address("127.0.0.1:0"), 64)) {
+        : answer_(std::move(answer)), listener_(net::listenOn(*net::parseAddress("127.0.0.1:0"), 64)) {
         thread_ = std::thread([this] { accept(); });
     }
     ~Stub() {
-        net::shut(listener_.get());
+        net::shutdownBoth(listener_.get());
         thread_.join();
         {
             const std::lock_guard lock(mutex_);
-            for (auto& fd : fds_) net::shut(fd.get());
+            for (auto& fd : fds_) net::shutdownBoth(fd.get());
         }
         for (auto& t : threads_) t.join();
     }
-    std::string at() const { return local(net::portOf(listener_.get())); }
+    std::string at() const { return local(net::localPort(listener_.get())); }
     int connections() {
         const std::lock_guard lock(mutex_);
         return static_cast<int>(fds_.size());
@@ -71,10 +71,10 @@
             const int raw = fds_.emplace_back(std::move(fd)).get();
             threads_.emplace_back([this, raw] {
                 http::Parser parser(http::Parser::Role::request);
-                for (std::string got; net::receive(raw, got, soon()) == net::Io::done; got.clear())
+                for (std::string got; net::receive(raw, got, soon()) == net::IoResult::done; got.clear())
                     for (auto s = parser.feed(got); s == http::Parser::State::complete; s = parser.next()) {
                         const auto text = answer_(parser.message());
-                        if (text == "close") return net::shut(raw);
+                        if (text == "close") return net::shutdownBoth(raw);
                         net::sendAll(raw, text, soon());
                     }
             });
@@ -89,7 +89,7 @@
 };
 
 inline std::string answer(int status, const http::Fields& fields = {}) {
-    return http::response(status, fields, "", true);
+    return http::formatResponse(status, fields, "", true);
 }
 
 /// The platform: keeps the notices it gets; its watch says what it is told to, once, and stays open.
@@ -168,7 +168,7 @@
         return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
     }
     net::Fd connection() const {
-        return net::connectTo(*net::address(local(port_)), soon(), [](int) {});
+        return net::connectTo(*net::parseAddress(local(port_)), soon(), [](int) {});
     }
     /// The status of the answer, over a connection of its own; 0 where none came.
     int status(const std::string& request) const {
@@ -179,7 +179,7 @@
         net::sendAll(fd.get(), request, soon());
         http::Parser parser(http::Parser::Role::response);
         for (std::string got; parser.state() != http::Parser::State::complete; got.clear()) {
-            if (net::receive(fd.get(), got, soon()) != net::Io::done) return 0;
+            if (net::receive(fd.get(), got, soon()) != net::IoResult::done) return 0;
             parser.feed(got);
         }
         return parser.message().status;
@@ -195,14 +195,14 @@
 };
 
 inline std::string handIn(const std::string& id, int deadlineMs = 20000, const std::string& body = "body") {
-    return http::request("POST", "/notice", "service.internal",
-                         {{"Req-Id", id},
-                          {"Req-Kind", "notice"},
-                          {"Req-Owner", "acme"},
-                          {"Req-Deadline-Ms", std::to_string(deadlineMs)},
-                          {"Idempotency-Key", "key-" + id},
-                          {"X-Route-To", "dest=7"}},
-                         body);
+    return http::formatRequest("POST", "/notice", "service.internal",
+                               {{"Req-Id", id},
+                                {"Req-Kind", "notice"},
+                                {"Req-Owner", "acme"},
+                                {"Req-Deadline-Ms", std::to_string(deadlineMs)},
+                                {"Idempotency-Key", "key-" + id},
+                                {"X-Route-To", "dest=7"}},
+                               body);
 }
 
 }  // namespace check
--- a/tests/laurelhaven/race_test.cpp
+++ b/tests/laurelhaven/race_test.cpp
@@ -73,12 +73,12 @@
     Silent() {
         for (int i = 0; i < 4; ++i) {
             queued.push_back(net::tcpSocket());
-            net::connectBy(queued.back().get(), *net::address(local(port)),
+            net::connectBy(queued.back().get(), *net::parseAddress(local(port)),
                            net::Steady::now() + milliseconds(50));
         }
     }
-    net::Fd listener = net::listenOn(*net::address(local(0)), 0);
-    const int port = net::portOf(listener.get());
+    net::Fd listener = net::listenOn(*net::parseAddress(local(0)), 0);
+    const int port = net::localPort(listener.get());
     std::vector<net::Fd> queued;
 };
 
@@ -127,7 +127,7 @@
         const auto whole = indented(entry("a", endpoint.at(), 7));
         lab::Server discovery("127.0.0.1:0", [&](const http::Message& m, lab::Connection& c) {
             if (m.target == "/v1/notices") return c.send(answer(204));
-            if (m.target == "/registry/instances") return c.send(http::response(200, {}, whole, true));
+            if (m.target == "/registry/instances") return c.send(http::formatResponse(200, {}, whole, true));
             c.send(kStream + chunk("\n"));
             if (byWatch) c.send(chunk(whole.substr(0, 40)) + chunk(whole.substr(40) + "\n"));
             // One whose numbering is not ours says nothing more, and the whole list is asked for.
@@ -287,7 +287,7 @@
     }
     ~Sender() { facade.stop(); }
     net::Fd client() const {
-        return net::connectTo(*net::address(local(port)), soon(), [](int) {});
+        return net::connectTo(*net::parseAddress(local(port)), soon(), [](int) {});
     }
     config::Config config;
     NoStore store;
@@ -300,7 +300,7 @@
 std::pair<int, bool> heard(const net::Fd& fd) {
     http::Parser parser(http::Parser::Role::response);
     for (std::string got; parser.state() != http::Parser::State::complete; got.clear()) {
-        if (net::receive(fd.get(), got, soon()) != net::Io::done) return {0, false};
+        if (net::receive(fd.get(), got, soon()) != net::IoResult::done) return {0, false};
         parser.feed(got);
     }
     return {parser.message().status, parser.message().keepsAlive()};
@@ -473,14 +473,14 @@
     explicit Probed(std::string its) : name(std::move(its)) {
         thread = std::thread([this] {
             const net::Fd fd(accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
-            if (net::receive(fd.get(), written, soon()) == net::Io::done) say(fd, answer(200));
+            if (net::receive(fd.get(), written, soon()) == net::IoResult::done) say(fd, answer(200));
             over = true;
         });
     }
     ~Probed() { thread.join(); }
     const std::string name;
-    net::Fd listener = net::listenOn(*net::address(local(0)), 8);
-    const int port = net::portOf(listener.get());
+    net::Fd listener = net::listenOn(*net::parseAddress(local(0)), 8);
+    const int port = net::localPort(listener.get());
     std::string written;
     std::atomic<bool> over{false};
     std::thread thread;
@@ -574,13 +574,13 @@
         int connections = 0, calls = 0;
         bool speak = false, done = false;
         std::string atTheSecond;
-        const auto listener = net::listenOn(*net::address("127.0.0.1:0"), 8);
+        const auto listener = net::listenOn(*net::parseAddress("127.0.0.1:0"), 8);
         std::thread endpoint([&] {
             for (;;) {
                 net::Fd fd(accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
                 if (!fd) return;
                 http::Parser parser(http::Parser::Role::request);
-                for (std::string got; net::receive(fd.get(), got, soon()) == net::Io::done; got.clear())
+                for (std::string got; net::receive(fd.get(), got, soon()) == net::IoResult::done; got.clear())
                     if (parser.feed(got) == http::Parser::State::complete) break;
                 if (parser.state() != http::Parser::State::complete) continue;
                 if (++connections == 2) atTheSecond = told.so();
@@ -598,7 +598,7 @@
                 if (fd) net::receive(fd.get(), rest, soon());
             }
         });
-        const auto at = local(net::portOf(listener.get()));
+        const auto at = local(net::localPort(listener.get()));
         const auto config = config::fromText(configuration("127.0.0.1:0", "127.0.0.1:1", entry("a", at, 7)),
                                              {{"BALANCER_STATE", "/tmp"}});
         told.onAttempt = [&](int n) {
@@ -629,7 +629,7 @@
         facade.stop();
         ticker.join();
         delivery.stop();
-        net::shut(listener.get());
+        net::shutdownBoth(listener.get());
         endpoint.join();
     }
 }
--- a/tests/laurelhaven/restart_test.cpp
+++ b/tests/laurelhaven/restart_test.cpp
@@ -52,7 +52,8 @@
     const Folder folder;
     // Apart from where connections begin, or one of theirs might have taken the port meanwhile.
     const std::string host = "127.0.7.1:";
-    const auto at = host + std::to_string(net::portOf(net::listenOn(*net::address(host + "0"), 1).get()));
+    const auto at =
+        host + std::to_string(net::localPort(net::listenOn(*net::parseAddress(host + "0"), 1).get()));
     const auto entries = weighed(entry("a", at, 7), find.weight);
     std::mutex mutex;
     std::multiset<std::string> called;
@@ -76,11 +77,11 @@
     });
     platform.start();
     // A full queue: connects to the partner hang, so nothing leaves.
-    auto full = std::make_unique<net::Fd>(net::listenOn(*net::address(at), 0));
+    auto full = std::make_unique<net::Fd>(net::listenOn(*net::parseAddress(at), 0));
     std::vector<net::Fd> queued;
     for (int i = 0; i < 4; ++i) {
         queued.push_back(net::tcpSocket());
-        net::connectBy(queued.back().get(), *net::address(at), net::Steady::now() + milliseconds(50));
+        net::connectBy(queued.back().get(), *net::parseAddress(at), net::Steady::now() + milliseconds(50));
     }
     if (find.before > 0) full.reset(), queued.clear();  // nobody listens: they are refused
     Platform unused;
--- a/tests/laurelhaven/serve_test.cpp
+++ b/tests/laurelhaven/serve_test.cpp
@@ -32,7 +32,7 @@
     Stub endpoint([&](http::Message& m) {
         CHECK(m.method == "POST" && m.target == "/hook" && m.body == bytes);
         CHECK(*m.headers.find("Idempotency-Key") == "key-" + *m.headers.find("Req-Id"));
-        CHECK(http::wholeNumber(*m.headers.find("Req-Deadline-Ms"), 20000));
+        CHECK(http::parseUnsigned(*m.headers.find("Req-Deadline-Ms"), 20000));
         // The first is answered with an error: the second try delivers.
         return answer(++calls == 1 ? 500 : 200, {{"Srv-Load", "garbage"}});
     });
@@ -323,7 +323,7 @@
         const int status = Program::status(fd, text);
         CHECK(status >= 400 && status < 600);
         std::string rest;
-        while (net::receive(fd.get(), rest, soon()) == net::Io::done) {
+        while (net::receive(fd.get(), rest, soon()) == net::IoResult::done) {
         }
         CHECK(rest.find("HTTP/1.1") == std::string::npos);  // one answer, then the end
     }
@@ -332,7 +332,7 @@
         net::sendAll(fd.get(), with("Content-Length: 5\r\n\r\n12345", "Content-Length: 60000000\r\n\r\n"),
                      soon());
         const std::string part(1000000, 'x');
-        for (int i = 0; i < 60; ++i) CHECK(net::sendAll(fd.get(), part, soon()) == net::Io::done);
+        for (int i = 0; i < 60; ++i) CHECK(net::sendAll(fd.get(), part, soon()) == net::IoResult::done);
         CHECK(Program::status(fd, "") == 413);
     }
     for (const auto& half : {std::string(), post.substr(0, 50), post.substr(0, post.size() - 2)}) {
@@ -357,7 +357,7 @@
 void idleConnectionsAreTakenWithCare() {
     using std::chrono::hours;
     Stub endpoint([](http::Message&) { return std::string("late copy"); });
-    const auto to = *net::address(endpoint.at());
+    const auto to = *net::parseAddress(endpoint.at());
     const auto fresh = [&] { return net::connectTo(to, soon(), [](int) {}); };
     delivery::Idle resting(hours(1), hours(2), 4);
     resting.give("a", to.text, fresh());
@@ -451,10 +451,10 @@
     await([&] { return calls == 5; });
     for (const auto& fd : idle) {  // each was answered or shut
         std::string rest;
-        while (net::receive(fd.get(), rest, soon()) == net::Io::done) {
+        while (net::receive(fd.get(), rest, soon()) == net::IoResult::done) {
         }
-        const auto unread = net::unread(fd.get());
-        CHECK(unread == net::Unread::end || unread == net::Unread::broken);
+        const auto unread = net::unreadState(fd.get());
+        CHECK(unread == net::UnreadState::end || unread == net::UnreadState::broken);
     }
     idle.clear();
     // Clients that ask once and keep their connection: those that have rested go, and with them their
--- a/tests/net/time_limits_test.cpp
+++ b/tests/net/time_limits_test.cpp
@@ -46,7 +46,7 @@
 TEST(TimeLimits, AReadThatGetsNothingEndsInTime) {
     EXPECT_LE(latest([](int fd, net::Deadline until) {
                   std::string got;
-                  EXPECT_EQ(net::receive(fd, got, until), net::Io::timedOut);
+                  EXPECT_EQ(net::receive(fd, got, until), net::IoResult::timedOut);
               }),
               kMostLate);
 }
@@ -54,7 +54,7 @@
 TEST(TimeLimits, AWriteThatIsNotTakenEndsInTime) {
     EXPECT_LE(latest([](int fd, net::Deadline until) {
                   const std::string much(8 << 20, 'x');
-                  EXPECT_EQ(net::sendAll(fd, much, until), net::Io::timedOut);
+                  EXPECT_EQ(net::sendAll(fd, much, until), net::IoResult::timedOut);
               }),
               kMostLate);
 }
@@ -68,11 +68,13 @@
     const Pair pair;
     ASSERT_EQ(send(pair.fds[1], "abc", 3, MSG_NOSIGNAL), 3);
     std::string got;
-    EXPECT_EQ(net::receive(pair.fds[0], got, net::Steady::now()), net::Io::timedOut);
-    EXPECT_EQ(net::receive(pair.fds[0], got, net::Steady::now() + std::chrono::seconds(20)), net::Io::done);
+    EXPECT_EQ(net::receive(pair.fds[0], got, net::Steady::now()), net::IoResult::timedOut);
+    EXPECT_EQ(net::receive(pair.fds[0], got, net::Steady::now() + std::chrono::seconds(20)),
+              net::IoResult::done);
     EXPECT_EQ(got, "abc");
-    net::shutWriting(pair.fds[1]);
-    EXPECT_EQ(net::receive(pair.fds[0], got, net::Steady::now() + std::chrono::seconds(20)), net::Io::closed);
+    net::shutdownWrite(pair.fds[1]);
+    EXPECT_EQ(net::receive(pair.fds[0], got, net::Steady::now() + std::chrono::seconds(20)),
+              net::IoResult::closed);
 }
 
 }  // namespace
--- a/tests/program/client_answers_test.cpp
+++ b/tests/program/client_answers_test.cpp
@@ -20,10 +20,10 @@
     for (int i = 0; i < kClients; ++i) {
         const auto fd = program.connection();
         const auto request = handIn("m" + std::to_string(i));
-        ASSERT_EQ(net::sendAll(fd.get(), request, soon()), net::Io::done);
-        net::shutWriting(fd.get());
+        ASSERT_EQ(net::sendAll(fd.get(), request, soon()), net::IoResult::done);
+        net::shutdownWrite(fd.get());
         std::string got;
-        while (net::receive(fd.get(), got, soon()) == net::Io::done) {
+        while (net::receive(fd.get(), got, soon()) == net::IoResult::done) {
         }
         answered += got.starts_with("HTTP/1.1 202") || got.starts_with("HTTP/1.1 503");
     }
@@ -43,7 +43,7 @@
         const auto fd = program.connection();
         net::sendAll(fd.get(), "GET /metrics HTTP/1.1\r\nConnection: close\r\n\r\n", soon());
         std::string got;
-        while (net::receive(fd.get(), got, soon()) == net::Io::done) {
+        while (net::receive(fd.get(), got, soon()) == net::IoResult::done) {
         }
         return got;
     };
--- a/tests/program/clock_steps_test.cpp
+++ b/tests/program/clock_steps_test.cpp
@@ -28,13 +28,14 @@
     lab::FaultHost faults_{folder_.path + "/faults", SHIM};
     Platform platform_;
     // Its queue is full: connects to it hang, so nothing leaves.
-    net::Fd listener_ = net::listenOn(*net::address(local(0)), 0);
-    const std::string silent_ = local(net::portOf(listener_.get()));
+    net::Fd listener_ = net::listenOn(*net::parseAddress(local(0)), 0);
+    const std::string silent_ = local(net::localPort(listener_.get()));
     std::vector<net::Fd> queued_ = [this] {
         std::vector<net::Fd> all;
         for (int i = 0; i < 4; ++i) {
             all.push_back(net::tcpSocket());
-            net::connectBy(all.back().get(), *net::address(silent_), net::Steady::now() + milliseconds(50));
+            net::connectBy(all.back().get(), *net::parseAddress(silent_),
+                           net::Steady::now() + milliseconds(50));
         }
         return all;
     }();
--- a/tests/program/repeat_after_kills_test.cpp
+++ b/tests/program/repeat_after_kills_test.cpp
@@ -28,7 +28,7 @@
     net::sendAll(fd.get(), "GET /metrics HTTP/1.1\r\n\r\n", soon());
     http::Parser parser(http::Parser::Role::response);
     for (std::string got; parser.state() != http::Parser::State::complete; got.clear()) {
-        if (net::receive(fd.get(), got, soon()) != net::Io::done) return {};
+        if (net::receive(fd.get(), got, soon()) != net::IoResult::done) return {};
         parser.feed(got);
     }
     return parser.message().body;
--- a/tests/registry/no_thread_test.cpp
+++ b/tests/registry/no_thread_test.cpp
@@ -45,7 +45,7 @@
     std::atomic<int> watches{0}, lists{0};
     Stub discoveryStub([&](http::Message& m) {
         if (m.target == "/registry/instances")
-            return ++lists, http::response(200, {}, list(9, true, entry("a", "127.0.0.1:1", 7)), true);
+            return ++lists, http::formatResponse(200, {}, list(9, true, entry("a", "127.0.0.1:1", 7)), true);
         ++watches;
         return std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
     });
