--- a/src/main.cpp
+++ b/src/main.cpp
@@ -64,13 +64,13 @@
     const auto set = ourSignals();
     const auto until = steady_clock::now() + span;
     for (auto now = steady_clock::now(); now <= until; now = steady_clock::now()) {
-        const auto next = std::min(until, reloader.againAt().value_or(until));
+        const auto next = std::min(until, reloader.retryAt().value_or(until));
         const auto left = std::max(std::chrono::ceil<milliseconds>(next - now), milliseconds(0));
         const timespec time{left.count() / 1000, (left.count() % 1000) * 1000000};
         const int signal = sigtimedwait(&set, nullptr, &time);
-        if (signal == SIGHUP) reloader.asked();
+        if (signal == SIGHUP) reloader.reload();
         else if (signal > 0) return true;
-        else if (reloader.againAt() && steady_clock::now() >= *reloader.againAt()) reloader.read();
+        else if (reloader.retryAt() && steady_clock::now() >= *reloader.retryAt()) reloader.readConfig();
         else if (errno == EAGAIN && next == until) return false;
     }
     return false;
@@ -113,7 +113,7 @@
     delivery::Delivery* calls = nullptr;
     roster::Roster* list = nullptr;
     discovery::Discovery discovery(config.discovery);
-    notices::Notices notices(discovery, [&](const auto& ids) { facade->acknowledgeNotices(ids); });
+    notices::NoticeDispatcher notices(discovery, [&](const auto& ids) { facade->acknowledgeNotices(ids); });
     trace::Capture capture(own.capture, config);
     decisions::Decisions decisions(
         config, store,
@@ -141,7 +141,7 @@
 
     metrics::setGauge("messages_held", [&] { return static_cast<double>(decisions.heldMessages()); });
     metrics::setGauge("attempts_out", [&] { return static_cast<double>(decisions.attemptsInFlight()); });
-    metrics::setGauge("notices_owed", [&] { return static_cast<double>(notices.owed()); });
+    metrics::setGauge("notices_owed", [&] { return static_cast<double>(notices.pendingCount()); });
     front.setMetrics(metrics::renderText);
     roster.begin();
     for (const auto& notice : recovered.notices) notices.add(notice);
@@ -171,13 +171,13 @@
     bool hurry = false;  // a second signal
     const auto nothingLeft = [&] {
         return since() > kLeastServeOn && front.connections() == 0 && decisions.heldMessages() == 0 &&
-               notices.owed() == 0;
+               notices.pendingCount() == 0;
     };
     while (!hurry && since() < kServeOn && !nothingLeft()) hurry = stopIn(kLook);
     front.stop();
     decisions
         .stopDispatching();  // calls out may finish; those that have not begun are left to the next start
-    while (!hurry && since() < kFinish && (decisions.attemptsInFlight() > 0 || notices.owed() > 0))
+    while (!hurry && since() < kFinish && (decisions.attemptsInFlight() > 0 || notices.pendingCount() > 0))
         hurry = stopIn(kLook);
     decisions.stop();
     notices.stop();
--- a/src/notices/notices.hpp
+++ b/src/notices/notices.hpp
@@ -17,38 +17,40 @@
 namespace laurelhaven::notices {
 
 /// One line of the body.
-std::string line(const store::PendingNotice& notice);
+std::string formatNotice(const store::PendingNotice& notice);
 
-class Notices {
+class NoticeDispatcher {
   public:
     /// `heard` is told the ids that the platform has answered for.
-    Notices(const discovery::Discovery& discovery, std::function<void(const std::vector<std::string>&)> heard)
-        : discovery_(discovery), heard_(std::move(heard)) {}
-    ~Notices() { stop(); }
+    NoticeDispatcher(const discovery::Discovery& discovery,
+                     std::function<void(const std::vector<std::string>&)> onAcknowledged)
+        : discovery_(discovery), onAcknowledged_(std::move(onAcknowledged)) {}
+    ~NoticeDispatcher() { stop(); }
     void start();
     void stop();
     void add(const store::PendingNotice& notice);
-    std::size_t owed() const;
+    std::size_t pendingCount() const;
 
   private:
-    enum class Answer {
-        heard,
-        unreadable,
-        none,  ///< nobody answered
-        local  ///< this machine could not even ask
+    enum class PostResult {
+        acknowledged,
+        rejected,
+        noAnswer,   ///< nobody answered
+        localError  ///< this machine could not even ask
     };
     void run();
-    Answer post(const discovery::Location& location, const std::string& body);
-    Answer exchange(const discovery::Location& location, const std::string& body, bool warm, bool& keep);
+    PostResult post(const discovery::Location& location, const std::string& body);
+    PostResult exchange(const discovery::Location& location, const std::string& body, bool reused,
+                        bool& keepOpen);
 
     const discovery::Discovery& discovery_;
-    std::function<void(const std::vector<std::string>&)> heard_;
+    std::function<void(const std::vector<std::string>&)> onAcknowledged_;
     mutable std::mutex mutex_;
     std::condition_variable_any wake_;
     std::deque<store::PendingNotice> queue_;
     bool oneByOne_ = false;
-    net::Fd fd_;      // used by the thread alone, as the next
-    std::string at_;  // the address that it leads to
+    net::Fd fd_;                    // used by the thread alone, as the next
+    std::string connectedAddress_;  // the address that it leads to
     std::stop_source stop_;
     threads::Thread thread_;
 };
--- a/src/serve/reloader.cpp
+++ b/src/serve/reloader.cpp
@@ -7,19 +7,19 @@
 namespace laurelhaven::serve {
 namespace {
 
-constexpr std::chrono::milliseconds kPause{50};
-constexpr std::chrono::milliseconds kPatience{3000};
+constexpr std::chrono::milliseconds kRetryPause{50};
+constexpr std::chrono::milliseconds kRetryPeriod{3000};
 
 }  // namespace
 
-void Reloader::asked() {
-    giveUpAt_ = Steady::now() + kPatience;
-    read();
+void Reloader::reload() {
+    retryUntil_ = Steady::now() + kRetryPeriod;
+    readConfig();
 }
 
-void Reloader::read() {
-    const bool first = !againAt_;
-    againAt_.reset();
+void Reloader::readConfig() {
+    const bool first = !retryAt_;
+    retryAt_.reset();
     try {
         const auto fresh = config::fromEnvironment();
         const bool moved = discovery_.moveTo(fresh.discovery);
@@ -29,8 +29,8 @@
             log::warning() << "configuration: the new " << part << " holds from the next start on";
     } catch (const std::exception& e) {
         const auto now = Steady::now();
-        const bool again = now + kPause < giveUpAt_;
-        if (again) againAt_ = now + kPause;
+        const bool again = now + kRetryPause < retryUntil_;
+        if (again) retryAt_ = now + kRetryPause;
         if (first || !again)
             log::error() << "the new configuration is not taken over" << (again ? " yet: " : ": ")
                          << e.what();
--- a/src/serve/reloader.hpp
+++ b/src/serve/reloader.hpp
@@ -17,17 +17,17 @@
     Reloader(const config::Config& running, discovery::Discovery& discovery)
         : running_(running), discovery_(discovery) {}
     /// A signal asks for it.
-    void asked();
+    void reload();
     /// When the file is to be read once more; nothing where it need not be.
-    std::optional<Steady::time_point> againAt() const { return againAt_; }
+    std::optional<Steady::time_point> retryAt() const { return retryAt_; }
     /// Reads it. One that is bad changes nothing.
-    void read();
+    void readConfig();
 
   private:
     const config::Config& running_;
     discovery::Discovery& discovery_;
-    Steady::time_point giveUpAt_{};
-    std::optional<Steady::time_point> againAt_;
+    Steady::time_point retryUntil_{};
+    std::optional<Steady::time_point> retryAt_;
 };
 
 }  // namespace laurelhaven::serve
--- a/tests/delivery/local_failures_test.cpp
+++ b/tests/delivery/local_failures_test.cpp
@@ -95,7 +95,7 @@
     Platform platform;
     const discovery::Discovery place(*net::parseAddress(platform.stub.at()));
     std::atomic<bool> heard{false};
-    notices::Notices notices(place, [&](const std::vector<std::string>&) { heard = true; });
+    notices::NoticeDispatcher notices(place, [&](const std::vector<std::string>&) { heard = true; });
     failWith = EADDRNOTAVAIL;
     connectsToFail = 12;
     const auto begun = net::Steady::now();
