--- a/lab/model/day.cpp
+++ b/lab/model/day.cpp
@@ -527,10 +527,11 @@
     /// An idle connection to the endpoint: the one used last that has rested. False where there is none.
     bool take(Sender& sender, Handle e) {
         auto& idle = sender.idle[e];
-        const auto keep = std::chrono::duration_cast<Instant>(delivery::kKeepShare * Instant(kKeepAlive));
+        const auto keep =
+            std::chrono::duration_cast<Instant>(delivery::kKeepAliveShare * Instant(kKeepAlive));
         sender.resting -= std::erase_if(idle, [&](Instant since) { return now_ - since > keep; });
         for (auto it = idle.rbegin(); it != idle.rend(); ++it) {
-            if (now_ - *it < delivery::kRestBetween) continue;
+            if (now_ - *it < delivery::kReuseDelay) continue;
             idle.erase(std::next(it).base());
             --sender.resting;
             return true;
--- a/src/delivery/delivery.cpp
+++ b/src/delivery/delivery.cpp
@@ -16,16 +16,16 @@
 using std::chrono::milliseconds;
 
 // An answer comes in one piece, or nearly: what has not come so long after its first byte never will.
-constexpr milliseconds kRest{250};
+constexpr milliseconds kResponseRemainderTimeout{250};
 // A kept connection that breaks so soon after a request was written to it had been closed, or dropped by
 // something on the way, before the request came (RFC 9112, 9.3.1). Danger: where partners do that often,
 // three on end look like an outage, and a partner that is well is eased in for a whole warm-up, on the day of
 // the highest load. An endpoint that died is seen all the same: the next call needs a new connection.
-constexpr milliseconds kCrossed{25};
-constexpr std::size_t kMostAnswer =
+constexpr milliseconds kStaleConnectionWindow{25};
+constexpr std::size_t kMaxResponseBytes =
     128 * 1024;  // more bytes than any answer has, 1xx ones before it included
 
-std::optional<double> field(std::string_view report, std::string_view name) {
+std::optional<double> loadField(std::string_view report, std::string_view name) {
     for (const auto part : http::split(report, ",")) {
         const auto equals = part.find('=');
         if (equals != std::string_view::npos && part.substr(0, equals) == name)
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-AttemptResult meaning(const http::Message& answer) {
+AttemptResult interpretResponse(const http::Message& answer) {
     AttemptResult result;
     const auto& headers = answer.headers;
     switch (answer.status) {
@@ -67,8 +67,8 @@
         }
     }
     if (const auto* load = headers.find("Srv-Load")) {
-        result.allowanceLeft = field(*load, "x0");
-        result.allowedRate = field(*load, "x1");
+        result.allowanceLeft = loadField(*load, "x0");
+        result.allowedRate = loadField(*load, "x1");
         if (!result.allowanceLeft && !result.allowedRate)
             log::warning() << "skipped a Srv-Load that can't be read";
     }
@@ -78,98 +78,103 @@
 Delivery::Delivery(const config::Config& config, decisions::Decisions& decisions)
     : config_(config),
       decisions_(decisions),
-      idle_(kRestBetween,
-            std::chrono::nanoseconds(static_cast<long>(config.settings.keepAlive.count() * kKeepShare)),
-            config::shares(config).idle) {}
+      idleConnections_(
+          kReuseDelay,
+          std::chrono::nanoseconds(static_cast<long>(config.settings.keepAlive.count() * kKeepAliveShare)),
+          config::shares(config).idle) {}
 
 void Delivery::start() {
-    threads_.emplace_back("idle", [this] { idle_.expire(); });
+    threads_.emplace_back("idle", [this] { idleConnections_.runExpiry(); });
     for (std::size_t i = 0; i < config::shares(config_).calls; ++i)
         threads_.emplace_back("call", [this] {
-            while (const auto call = decisions_.takeDueAttempt()) {
+            while (const auto dueAttempt = decisions_.takeDueAttempt()) {
                 const auto begun = net::Steady::now();
-                const AttemptResult result = deliver(*call);
+                const AttemptResult result = deliver(*dueAttempt);
                 const auto took =
                     std::chrono::duration_cast<milliseconds>(net::Steady::now() - begun).count();
                 (log::debug() << "call ended")
-                    .kv("id", call->id)
-                    .kv("call", call->attempt + 1)
-                    .kv("endpoint", call->endpoint)
-                    .kv("destination", call->destination)
+                    .kv("id", dueAttempt->id)
+                    .kv("call", dueAttempt->attempt + 1)
+                    .kv("endpoint", dueAttempt->endpoint)
+                    .kv("destination", dueAttempt->destination)
                     .kv("ending", decisions::name(result.status))
                     .kv("wait_ms", result.wait.count() / 1000000)
                     .kv("left", result.allowanceLeft.value_or(-1))
                     .kv("limit", result.allowedRate.value_or(-1))
                     .kv("took_ms", took);
-                decisions_.recordResult(*call, result);
+                decisions_.recordResult(*dueAttempt, result);
             }
         });
 }
 
 void Delivery::stop() {
-    idle_.stop();
+    idleConnections_.stop();
     threads_.clear();
 }
 
-AttemptResult Delivery::deliver(const DueAttempt& call) {
-    const auto address = net::parseAddress(call.address);
+AttemptResult Delivery::deliver(const DueAttempt& dueAttempt) {
+    const auto address = net::parseAddress(dueAttempt.address);
     if (!address) return {};
-    net::Fd fd = idle_.take(call.endpoint, call.address);
+    net::Fd fd = idleConnections_.acquire(dueAttempt.endpoint, dueAttempt.address);
     for (;;) {
-        const bool warm = static_cast<bool>(fd);
+        const bool reused = static_cast<bool>(fd);
         bool keep = false;
-        if (!warm) fd = net::tcpSocket();
+        if (!reused) fd = net::tcpSocket();
         if (!fd)
             return AttemptResult{AttemptStatus::unsent, false, {}, {}, {}};  // no descriptor is to be had
-        const AttemptResult result = attempt(call, *address, fd.get(), warm, keep);
+        const AttemptResult result = sendRequest(dueAttempt, *address, fd.get(), reused, keep);
         // Only now, when no call-off can shut it any more, may another call have the connection.
-        if (keep) idle_.give(call.endpoint, call.address, std::move(fd));
+        if (keep) idleConnections_.release(dueAttempt.endpoint, dueAttempt.address, std::move(fd));
         fd.reset();
         // Before the last byte the endpoint has not begun: a warm connection found dead is no failure yet.
-        if (!warm || result.status != AttemptStatus::noConnection || call.cancelToken.stop_requested())
+        if (!reused || result.status != AttemptStatus::noConnection ||
+            dueAttempt.cancelToken.stop_requested())
             return result;
         // Danger: the new connection may take long, and a kill meanwhile would leave an attempt that never
         // left on record as one that may have run.
-        decisions_.attemptNotSent(call);
+        decisions_.attemptNotSent(dueAttempt);
     }
 }
 
-AttemptResult Delivery::attempt(const DueAttempt& call, const net::Address& address, int fd, bool warm,
-                                bool& keep) {
-    const auto ended = [](AttemptStatus ending) { return AttemptResult{ending, false, {}, {}, {}}; };
-    if (call.cancelToken.stop_requested()) return ended(AttemptStatus::unsent);
-    const auto until = std::min(call.tryUntil, net::Steady::now() + config_.settings.connectTimeout);
-    const auto start = warm ? net::ConnectStart::started : net::beginConnect(fd, address);
+AttemptResult Delivery::sendRequest(const DueAttempt& dueAttempt, const net::Address& address, int fd,
+                                    bool reused, bool& keep) {
+    const auto endedWith = [](AttemptStatus status) { return AttemptResult{status, false, {}, {}, {}}; };
+    if (dueAttempt.cancelToken.stop_requested()) return endedWith(AttemptStatus::unsent);
+    const auto until = std::min(dueAttempt.tryUntil, net::Steady::now() + config_.settings.connectTimeout);
+    const auto start = reused ? net::ConnectStart::started : net::beginConnect(fd, address);
     if (start == net::ConnectStart::localFailure) {
-        log::debug() << "call " << call.id << ": no connect can begin: " << std::strerror(errno);
-        return ended(AttemptStatus::unsent);
+        log::debug() << "call " << dueAttempt.id << ": no connect can begin: " << std::strerror(errno);
+        return endedWith(AttemptStatus::unsent);
     }
     const bool begun = start == net::ConnectStart::started;
     // Danger: set up before the connect has begun, this would shut nothing, and a connect to a silent address
     // would outlast a planned stop.
-    const std::stop_callback shutIt(call.cancelToken, [fd] { net::shutdownBoth(fd); });
-    if (!warm && !(begun && net::finishConnect(fd, until)))
-        return ended(call.cancelToken.stop_requested() ? AttemptStatus::unsent : AttemptStatus::noConnection);
+    const std::stop_callback shutOnCancel(dueAttempt.cancelToken, [fd] { net::shutdownBoth(fd); });
+    if (!reused && !(begun && net::finishConnect(fd, until)))
+        return endedWith(dueAttempt.cancelToken.stop_requested() ? AttemptStatus::unsent
+                                                                 : AttemptStatus::noConnection);
     // What came meanwhile on a connection that stood idle belongs to an earlier call. Looked at before the
     // attempt is on record, or one that surely never left would be; and again after, as that may have taken
     // its time.
-    if (warm && !net::isIdle(fd)) return ended(AttemptStatus::noConnection);
-    if (!decisions_.tryBeginAttempt(call)) {
-        keep = !call.cancelToken.stop_requested();
-        return ended(AttemptStatus::unsent);
+    if (reused && !net::isIdle(fd)) return endedWith(AttemptStatus::noConnection);
+    if (!decisions_.tryBeginAttempt(dueAttempt)) {
+        keep = !dueAttempt.cancelToken.stop_requested();
+        return endedWith(AttemptStatus::unsent);
     }
-    if (warm && !net::isIdle(fd)) return ended(AttemptStatus::noConnection);
-    const auto left = std::chrono::ceil<milliseconds>(call.tryUntil - net::Steady::now()).count();
-    http::Fields fields{{"Req-Id", call.id}, {"Req-Deadline-Ms", std::to_string(std::max<long>(left, 1))}};
-    if (!call.key.empty()) fields.emplace_back("Idempotency-Key", call.key);
-    const auto bytes = http::formatRequest("POST", "/hook", call.address, fields, *call.body);
+    if (reused && !net::isIdle(fd)) return endedWith(AttemptStatus::noConnection);
+    const auto left = std::chrono::ceil<milliseconds>(dueAttempt.tryUntil - net::Steady::now()).count();
+    http::Fields fields{{"Req-Id", dueAttempt.id},
+                        {"Req-Deadline-Ms", std::to_string(std::max<long>(left, 1))}};
+    if (!dueAttempt.key.empty()) fields.emplace_back("Idempotency-Key", dueAttempt.key);
+    const auto bytes = http::formatRequest("POST", "/hook", dueAttempt.address, fields, *dueAttempt.body);
     const auto firstByteAt = net::Steady::now();
-    if (net::sendAll(fd, bytes, call.tryUntil) != net::IoResult::done)
-        return ended(AttemptStatus::noConnection);
+    if (net::sendAll(fd, bytes, dueAttempt.tryUntil) != net::IoResult::done)
+        return endedWith(AttemptStatus::noConnection);
     const auto sentAt = net::Steady::now();
-    decisions_.recordSent(call, firstByteAt);
-    auto result = answer(call, fd, keep);
-    result.stale = warm && result.status == AttemptStatus::reset && net::Steady::now() - sentAt < kCrossed;
+    decisions_.recordSent(dueAttempt, firstByteAt);
+    auto result = receiveResponse(dueAttempt, fd, keep);
+    result.stale = reused && result.status == AttemptStatus::reset &&
+                   net::Steady::now() - sentAt < kStaleConnectionWindow;
     return result;
 }
 
@@ -177,14 +182,14 @@
 // fit, a body that keeps coming. The request has run then, and the connection, open as it may be, would give
 // the next call the rest of this answer. So: what has begun must end soon, in few bytes; where it does not,
 // the first line decides alone, and the connection goes. A 200 there is a delivery whatever follows it.
-AttemptResult Delivery::answer(const DueAttempt& call, int fd, bool& keep) {
+AttemptResult Delivery::receiveResponse(const DueAttempt& dueAttempt, int fd, bool& keep) {
     using State = http::Parser::State;
     http::Parser parser(http::Parser::Role::response);
-    auto until = call.tryUntil;
+    auto until = dueAttempt.tryUntil;
     auto io = net::IoResult::done;
     std::size_t bytes = 0;
     bool begun = false;
-    while (parser.state() != State::complete && parser.state() != State::bad && bytes < kMostAnswer) {
+    while (parser.state() != State::complete && parser.state() != State::bad && bytes < kMaxResponseBytes) {
         std::string got;
         io = net::receive(fd, got, until);
         if (io != net::IoResult::done) break;
@@ -192,21 +197,22 @@
         parser.feed(got);
         // 1xx answers say nothing yet; the answer proper may still take its time.
         while (parser.state() == State::complete && parser.message().status < 200) parser.next();
-        if (!begun && parser.begun()) until = std::min(until, net::Steady::now() + kRest);
+        if (!begun && parser.begun()) until = std::min(until, net::Steady::now() + kResponseRemainderTimeout);
         begun = parser.begun();
-        if (!begun) until = call.tryUntil;
+        if (!begun) until = dueAttempt.tryUntil;
     }
-    const auto ended = [](AttemptStatus ending) { return AttemptResult{ending, false, {}, {}, {}}; };
+    const auto endedWith = [](AttemptStatus status) { return AttemptResult{status, false, {}, {}, {}}; };
     keep = parser.state() == State::complete && parser.message().keepsAlive() && parser.leftover() == 0;
     // A body without a length, or one that would go on to the connection's end: the head is all that counts.
     if (parser.state() == State::complete || parser.finish() == State::complete)
-        return meaning(parser.message());
-    if (parser.message().status == 200) return ended(AttemptStatus::delivered);
-    if (call.cancelToken.stop_requested()) return ended(AttemptStatus::cancelled);
-    if (!begun) return ended(io == net::IoResult::timedOut ? AttemptStatus::timedOut : AttemptStatus::reset);
-    if (io == net::IoResult::closed || io == net::IoResult::broken) return ended(AttemptStatus::reset);
-    log::info() << "an answer of " << call.endpoint << " can't be read";
-    return ended(AttemptStatus::error);
+        return interpretResponse(parser.message());
+    if (parser.message().status == 200) return endedWith(AttemptStatus::delivered);
+    if (dueAttempt.cancelToken.stop_requested()) return endedWith(AttemptStatus::cancelled);
+    if (!begun)
+        return endedWith(io == net::IoResult::timedOut ? AttemptStatus::timedOut : AttemptStatus::reset);
+    if (io == net::IoResult::closed || io == net::IoResult::broken) return endedWith(AttemptStatus::reset);
+    log::info() << "an answer of " << dueAttempt.endpoint << " can't be read";
+    return endedWith(AttemptStatus::error);
 }
 
 }  // namespace laurelhaven::delivery
--- a/src/delivery/delivery.hpp
+++ b/src/delivery/delivery.hpp
@@ -12,7 +12,7 @@
 namespace laurelhaven::delivery {
 
 /// What an endpoint's answer means, by the protocol's table.
-decisions::AttemptResult meaning(const http::Message& answer);
+decisions::AttemptResult interpretResponse(const http::Message& answer);
 
 class Delivery {
   public:
@@ -21,17 +21,17 @@
     void start();
     /// The workers return once the facade gives out no more calls.
     void stop();
-    void closeIdle(const std::string& endpoint) { idle_.close(endpoint); }
+    void closeIdleConnections(const std::string& endpoint) { idleConnections_.closeEndpoint(endpoint); }
 
   private:
-    decisions::AttemptResult deliver(const decisions::DueAttempt& call);
-    decisions::AttemptResult attempt(const decisions::DueAttempt& call, const net::Address& address, int fd,
-                                     bool warm, bool& keep);
-    decisions::AttemptResult answer(const decisions::DueAttempt& call, int fd, bool& keep);
+    decisions::AttemptResult deliver(const decisions::DueAttempt& dueAttempt);
+    decisions::AttemptResult sendRequest(const decisions::DueAttempt& dueAttempt, const net::Address& address,
+                                         int fd, bool reused, bool& keep);
+    decisions::AttemptResult receiveResponse(const decisions::DueAttempt& dueAttempt, int fd, bool& keep);
 
     const config::Config& config_;
     decisions::Decisions& decisions_;
-    Idle idle_;
+    IdleConnections idleConnections_;
     std::vector<threads::Thread> threads_;
 };
 
--- a/src/delivery/idle.cpp
+++ b/src/delivery/idle.cpp
@@ -4,14 +4,14 @@
 
 namespace laurelhaven::delivery {
 
-net::Fd Idle::take(const std::string& endpoint, const std::string& address) {
+net::Fd IdleConnections::acquire(const std::string& endpoint, const std::string& address) {
     const std::lock_guard lock(mutex_);
     const auto now = net::Steady::now();
     for (auto it = entries_.end(); it != entries_.begin();) {
         --it;
-        if (it->endpoint != endpoint || it->address != address || now < it->from) continue;
+        if (it->endpoint != endpoint || it->address != address || now < it->reusableAt) continue;
         net::Fd fd = std::move(it->fd);
-        const bool fresh = now < it->until;
+        const bool fresh = now < it->expiresAt;
         it = entries_.erase(it);
         // An endpoint that died or closed has reset it: a request on it would end as a reset.
         if (fresh && net::isIdle(fd.get())) return fd;
@@ -19,37 +19,37 @@
     return {};
 }
 
-void Idle::give(const std::string& endpoint, const std::string& address, net::Fd fd) {
+void IdleConnections::release(const std::string& endpoint, const std::string& address, net::Fd fd) {
     const std::lock_guard lock(mutex_);
     if (stopped_) return;
     const auto now = net::Steady::now();
-    entries_.push_back({endpoint, address, std::move(fd), now + rest_, now + keep_});
-    if (entries_.size() > most_) entries_.pop_front();
+    entries_.push_back({endpoint, address, std::move(fd), now + reuseDelay_, now + keepAlive_});
+    if (entries_.size() > maxConnections_) entries_.pop_front();
     if (entries_.size() == 1) changed_.notify_one();
 }
 
-void Idle::close(const std::string& endpoint) {
+void IdleConnections::closeEndpoint(const std::string& endpoint) {
     const std::lock_guard lock(mutex_);
     std::erase_if(entries_, [&](const Entry& e) { return e.endpoint == endpoint; });
 }
 
-void Idle::expire() {
+void IdleConnections::runExpiry() {
     std::unique_lock lock(mutex_);
     while (!stopped_) {
         const auto now = net::Steady::now();
-        while (!entries_.empty() && entries_.front().until <= now) entries_.pop_front();
+        while (!entries_.empty() && entries_.front().expiresAt <= now) entries_.pop_front();
         if (entries_.empty()) {
             changed_.wait(lock);
             continue;
         }
         // A copy: wait_until reads the time again after it, when take() may have freed the entry.
-        const auto next = entries_.front().until;
+        const auto next = entries_.front().expiresAt;
         changed_.wait_until(lock, next);
     }
     entries_.clear();
 }
 
-void Idle::stop() {
+void IdleConnections::stop() {
     const std::lock_guard lock(mutex_);
     stopped_ = true;
     changed_.notify_all();
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -19,21 +19,22 @@
 using std::chrono::milliseconds;
 
 constexpr int kBacklog = 512;
-constexpr milliseconds kListen{8000};  // for a socket, where the machine has none at the start
-constexpr std::size_t kLeaving = 16;   // connections beyond the most, while those told to go are going
+constexpr milliseconds kListenRetryTimeout{8000};  // for a socket, where the machine has none at the start
+constexpr std::size_t kMaxClosingConnections =
+    16;  // connections beyond the most, while those told to go are going
 // A client waits 400 ms: what is not whole by then never will be. Whoever sends less, or byte by byte, is
 // answered or shut this long after connecting, or after its next request's first byte.
-constexpr milliseconds kRead{2000};
-constexpr milliseconds kWrite{1000};
-constexpr milliseconds kTurnAway{5};  // an empty buffer takes an answer at once
-constexpr milliseconds kIdle{10000};
-constexpr milliseconds kQueue{400};  // for what a listener has in its queue at a stop
-constexpr milliseconds kLast{300};   // for a last request, or the rest of one, at a stop
-constexpr milliseconds kPause{20};   // between tries where no descriptor or thread is to be had
+constexpr milliseconds kReadTimeout{2000};
+constexpr milliseconds kWriteTimeout{1000};
+constexpr milliseconds kRejectWriteTimeout{5};  // an empty buffer takes an answer at once
+constexpr milliseconds kIdleTimeout{10000};
+constexpr milliseconds kAcceptQueueTimeout{400};  // for what a listener has in its queue at a stop
+constexpr milliseconds kLastRequestTimeout{300};  // for a last request, or the rest of one, at a stop
+constexpr milliseconds kRetryPause{20};           // between tries where no descriptor or thread is to be had
 // After the last answer, so long and so much is dropped: a close with bytes unread would reset it away.
-constexpr milliseconds kDrain{1000};
-constexpr std::size_t kMostDrained = 80 << 20;
-constexpr const char* kComeAgain = "0.3";  // seconds, for whoever found no room or a stop
+constexpr milliseconds kDrainTimeout{1000};
+constexpr std::size_t kMaxDrainedBytes = 80 << 20;
+constexpr const char* kRetryAfterSeconds = "0.3";  // seconds, for whoever found no room or a stop
 
 std::string seconds(milliseconds span) {
     char text[32];
@@ -45,24 +46,25 @@
 void countAnswer(int status) { metrics::counter("answers_total", "status", std::to_string(status)).add(); }
 
 /// No room: told so at once, without a thread, and never waited for.
-void turnAway(const net::Fd& fd) {
-    static auto& turnedAway = metrics::counter("connections_turned_away_total");
-    turnedAway.add();
-    static const auto text = http::formatResponse(503, {{"Retry-After", kComeAgain}}, "no room\n", false);
-    net::sendAll(fd.get(), text, net::Steady::now() + kTurnAway);
+void rejectConnection(const net::Fd& fd) {
+    static auto& rejectedConnections = metrics::counter("connections_turned_away_total");
+    rejectedConnections.add();
+    static const auto text =
+        http::formatResponse(503, {{"Retry-After", kRetryAfterSeconds}}, "no room\n", false);
+    net::sendAll(fd.get(), text, net::Steady::now() + kRejectWriteTimeout);
     net::shutdownWrite(fd.get());
-    net::discardUnread(fd.get(), kMostDrained);
+    net::discardUnread(fd.get(), kMaxDrainedBytes);
 }
 
 }  // namespace
 
-Front::Front(const config::Config& config, decisions::Decisions& decisions)
+HttpServer::HttpServer(const config::Config& config, decisions::Decisions& decisions)
     : config_(config),
       decisions_(decisions),
-      listener_(net::listenOn(config.listen, kBacklog, kListen)),
-      most_(config::shares(config).clients) {}
+      listener_(net::listenOn(config.listen, kBacklog, kListenRetryTimeout)),
+      maxConnections_(config::shares(config).clients) {}
 
-void Front::start() {
+void HttpServer::start() {
     ready_ = true;
     acceptor_ = threads::Thread("accept", [this] { accept(); });
 }
@@ -71,79 +73,82 @@
 // the answer before. A shut listener resets what stands in its queue, so that is taken first, and served like
 // any other. Clients send on whatever stays open, so those told before that it stays get the time to send
 // once more, and hear then that it ends. What is shut in the end has said nothing since.
-void Front::stop() {
+void HttpServer::stop() {
     std::unique_lock lock(mutex_);
     if (stopping_.exchange(true)) return;
     if (acceptor_.joinable())
-        changed_.wait_for(lock, kQueue, [this] { return !net::hasPendingConnection(listener_.get()); });
+        changed_.wait_for(lock, kAcceptQueueTimeout,
+                          [this] { return !net::hasPendingConnection(listener_.get()); });
     lock.unlock();
-    deaf_ = true;
+    acceptStopped_ = true;
     net::shutdownBoth(listener_.get());
     changed_.notify_all();
     acceptor_.join();
     listener_.reset();
     lock.lock();
     for (auto& c : connections_)
-        if (c.phase == Connection::Phase::draining) tellToGo(c);
-    changed_.wait_for(lock, kLast, [this] {
+        if (c.phase == Connection::Phase::draining) askToClose(c);
+    changed_.wait_for(lock, kLastRequestTimeout, [this] {
         return std::all_of(connections_.begin(), connections_.end(),
                            [](const Connection& c) { return c.phase == Connection::Phase::closed; });
     });
-    closing_ = true;
+    closingIdle_ = true;
     for (auto& c : connections_)
-        if (c.phase != Connection::Phase::closed) tellToGo(c);
-    reap(lock);
+        if (c.phase != Connection::Phase::closed) askToClose(c);
+    removeClosed(lock);
     while (!connections_.empty()) {
         changed_.wait_for(lock, milliseconds(100));
-        reap(lock);
+        removeClosed(lock);
     }
 }
 
-std::size_t Front::connections() {
+std::size_t HttpServer::connectionCount() {
     const std::lock_guard lock(mutex_);
     return static_cast<std::size_t>(
         std::count_if(connections_.begin(), connections_.end(),
                       [](const auto& c) { return c.phase != Connection::Phase::closed; }));
 }
 
-void Front::accept() {
+void HttpServer::accept() {
     for (;;) {
         net::Fd fd(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC));
         if (fd) {
             admit(std::move(fd));
             if (stopping_) changed_.notify_all();
-        } else if (deaf_) {  // and no sooner: a stop takes what stands in the queue first
+        } else if (acceptStopped_) {  // and no sooner: a stop takes what stands in the queue first
             return;
         } else if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
             log::warning() << "front: accept: " << std::strerror(errno);
             std::unique_lock lock(mutex_);
-            makeRoom(rules::CloseScope::all);
-            changed_.wait_for(lock, kPause, [this] { return deaf_.load(); });
+            closeOneConnection(rules::CloseScope::all);
+            changed_.wait_for(lock, kRetryPause, [this] { return acceptStopped_.load(); });
         } else if (errno != EINTR && errno != ECONNABORTED) {
             log::warning() << "front: accept: " << std::strerror(errno);
-            std::this_thread::sleep_for(kPause);
+            std::this_thread::sleep_for(kRetryPause);
         }
     }
 }
 
-void Front::admit(net::Fd fd) {
+void HttpServer::admit(net::Fd fd) {
     std::unique_lock lock(mutex_);
-    reap(lock);
-    if (connections_.size() >= most_ + kLeaving) {  // those told to go have not gone yet
-        changed_.wait_for(lock, kPause);
-        reap(lock);
+    removeClosed(lock);
+    if (connections_.size() >=
+        maxConnections_ + kMaxClosingConnections) {  // those told to go have not gone yet
+        changed_.wait_for(lock, kRetryPause);
+        removeClosed(lock);
     }
-    const auto leaving = static_cast<std::size_t>(
-        std::count_if(connections_.begin(), connections_.end(), [](const auto& c) { return c.shut; }));
-    const auto staying = connections_.size() - leaving;
-    const bool room =
-        connections_.size() < most_ + kLeaving && (staying < most_ || makeRoom(rules::CloseScope::all));
+    const auto closingCount = static_cast<std::size_t>(std::count_if(
+        connections_.begin(), connections_.end(), [](const auto& c) { return c.askedToClose; }));
+    const auto openCount = connections_.size() - closingCount;
+    const bool room = connections_.size() < maxConnections_ + kMaxClosingConnections &&
+                      (openCount < maxConnections_ || closeOneConnection(rules::CloseScope::all));
     // Danger: clients that ask once and keep their connection add up, and with each goes a thread whose stack
     // stays in memory. Long before room is short, those that have rested make way one by one.
-    if (staying < most_ && staying >= most_ / 4) makeRoom(rules::CloseScope::longIdle);
+    if (openCount < maxConnections_ && openCount >= maxConnections_ / 4)
+        closeOneConnection(rules::CloseScope::longIdle);
     if (!room) {
         lock.unlock();
-        return turnAway(fd);
+        return rejectConnection(fd);
     }
     Connection& c = connections_.emplace_back();
     c.fd = std::move(fd);
@@ -152,41 +157,43 @@
         c.thread = threads::Thread("client", [this, &c] { serve(c); });
     } catch (const std::exception& e) {
         log::error() << "front: " << e.what();
-        turnAway(c.fd);
+        rejectConnection(c.fd);
         connections_.pop_back();
     }
 }
 
 /// Tells the one connection to go that may best be done without: see rules::closePriority().
-bool Front::makeRoom(rules::CloseScope least) {
+bool HttpServer::closeOneConnection(rules::CloseScope scope) {
     using Phase = Connection::Phase;
     const auto now = net::Steady::now();
-    const auto rank = [now](const Connection& c) {
-        return rules::closePriority(c.phase, now - c.since, c.shut);
+    const auto priority = [now](const Connection& c) {
+        return rules::closePriority(c.phase, now - c.since, c.askedToClose);
     };
-    Connection* worst = nullptr;
+    Connection* candidate = nullptr;
     for (auto& c : connections_) {
-        const int its = rank(c);
-        if (!rules::mayClose(its, least)) continue;
-        if (worst && std::make_pair(its, worst->since) <= std::make_pair(rank(*worst), c.since)) continue;
+        const int candidatePriority = priority(c);
+        if (!rules::mayClose(candidatePriority, scope)) continue;
+        if (candidate && std::make_pair(candidatePriority, candidate->since) <=
+                             std::make_pair(priority(*candidate), c.since))
+            continue;
         // Bytes that its thread has not come to yet may be a whole request.
         if (c.phase != Phase::draining && net::unreadState(c.fd.get()) == net::UnreadState::bytes) continue;
-        worst = &c;
+        candidate = &c;
     }
-    if (!worst) return false;
-    static auto& madeRoom = metrics::counter("connections_told_to_go_total", "reason", "room");
-    madeRoom.add();
-    tellToGo(*worst);
+    if (!candidate) return false;
+    static auto& closedForRoom = metrics::counter("connections_told_to_go_total", "reason", "room");
+    closedForRoom.add();
+    askToClose(*candidate);
     return true;
 }
 
 /// Wakes its thread, which answers what has come whole and ends. With the lock held.
-void Front::tellToGo(Connection& connection) {
-    connection.shut = true;
+void HttpServer::askToClose(Connection& connection) {
+    connection.askedToClose = true;
     net::shutdownRead(connection.fd.get());
 }
 
-void Front::reap(std::unique_lock<std::mutex>& lock) {
+void HttpServer::removeClosed(std::unique_lock<std::mutex>& lock) {
     Connections done;
     for (auto it = connections_.begin(); it != connections_.end();) {
         const auto next = std::next(it);
@@ -199,69 +206,73 @@
     lock.lock();
 }
 
-void Front::enter(Connection& connection, Connection::Phase phase) {
+void HttpServer::setPhase(Connection& connection, Connection::Phase phase) {
     const std::lock_guard lock(mutex_);
     connection.phase = phase;
     connection.since = net::Steady::now();
     // Danger: its last answer may have taken so long that the stop has passed it by.
-    if (phase == Connection::Phase::idle && closing_) tellToGo(connection);
+    if (phase == Connection::Phase::idle && closingIdle_) askToClose(connection);
     if (phase == Connection::Phase::closed) {
         connection.fd.reset();
         changed_.notify_all();
     }
 }
 
-void Front::serve(Connection& connection) {
+void HttpServer::serve(Connection& connection) {
     using Phase = Connection::Phase;
     const int fd = connection.fd.get();
     http::Parser parser(http::Parser::Role::request);
-    net::Deadline came = connection.since;
-    Next next = read(connection, parser, came, true);
-    while (next == Next::request) {
-        enter(connection, Phase::answering);
-        next = answer(fd, parser.message(), came, !toldToGo(connection));
-        if (next != Next::request) break;
+    net::Deadline receivedAt = connection.since;
+    NextStep next = readRequest(connection, parser, receivedAt, true);
+    while (next == NextStep::request) {
+        setPhase(connection, Phase::answering);
+        next = respond(fd, parser.message(), receivedAt, !isAskedToClose(connection));
+        if (next != NextStep::request) break;
         parser.next();
-        enter(connection, Phase::idle);
-        next = read(connection, parser, came, false);
+        setPhase(connection, Phase::idle);
+        next = readRequest(connection, parser, receivedAt, false);
     }
-    if (next == Next::drain) {
-        enter(connection, Phase::draining);
+    if (next == NextStep::drain) {
+        setPhase(connection, Phase::draining);
         net::shutdownWrite(fd);
-        net::discard(fd, kMostDrained, net::Steady::now() + kDrain);
+        net::discard(fd, kMaxDrainedBytes, net::Steady::now() + kDrainTimeout);
     }
-    enter(connection, Phase::closed);
+    setPhase(connection, Phase::closed);
 }
 
-bool Front::toldToGo(const Connection& connection) {
+bool HttpServer::isAskedToClose(const Connection& connection) {
     const std::lock_guard lock(mutex_);
-    return connection.shut;
+    return connection.askedToClose;
 }
 
 /// The connection ends without an answer, for that reason.
-Front::Next Front::closing(std::string_view reason) {
+HttpServer::NextStep HttpServer::closeWithoutResponse(std::string_view reason) {
     metrics::counter("connections_closed_total", "reason", reason).add();
     log::debug() << "front: closing without an answer: " << reason;
-    return Next::close;
+    return NextStep::close;
 }
 
 /// One whole request, and nothing behind it. `came`: when it began; a first one is timed from the connect on.
-Front::Next Front::read(Connection& connection, http::Parser& parser, net::Deadline& came, bool first) {
+HttpServer::NextStep HttpServer::readRequest(Connection& connection, http::Parser& parser,
+                                             net::Deadline& receivedAt, bool first) {
     using State = http::Parser::State;
     const int fd = connection.fd.get();
     const auto begun = net::Steady::now();
-    if (!net::waitReadable(fd, first ? came + kRead : begun + kIdle)) return closing("silent");
-    const auto until = (first ? came : net::Steady::now()) + kRead;
-    came = net::Steady::now();
-    enter(connection, Connection::Phase::reading);
+    if (!net::waitReadable(fd, first ? receivedAt + kReadTimeout : begun + kIdleTimeout))
+        return closeWithoutResponse("silent");
+    const auto until = (first ? receivedAt : net::Steady::now()) + kReadTimeout;
+    receivedAt = net::Steady::now();
+    setPhase(connection, Connection::Phase::reading);
     const auto refuse = [&](int status, const char* why) {
-        enter(connection, Connection::Phase::answering);
-        const http::Fields again{{"Retry-After", kComeAgain}};
+        setPhase(connection, Connection::Phase::answering);
+        const http::Fields retryFields{{"Retry-After", kRetryAfterSeconds}};
         countAnswer(status);
         log::debug() << "front: " << status << ": " << std::string_view(why).substr(0, std::strlen(why) - 1);
-        const auto text = http::formatResponse(status, status == 503 ? again : http::Fields{}, why, false);
-        const bool heard = net::sendAll(fd, text, net::Steady::now() + kWrite) == net::IoResult::done;
-        return heard ? Next::drain : closing("unwritten");
+        const auto text =
+            http::formatResponse(status, status == 503 ? retryFields : http::Fields{}, why, false);
+        const bool written =
+            net::sendAll(fd, text, net::Steady::now() + kWriteTimeout) == net::IoResult::done;
+        return written ? NextStep::drain : closeWithoutResponse("unwritten");
     };
     bool continued = false;
     while (parser.state() == State::head || parser.state() == State::body) {
@@ -269,70 +280,72 @@
             parser.message().headers.lists("Expect", "100-continue")) {
             continued = true;
             if (net::sendAll(fd, "HTTP/1.1 100 Continue\r\n\r\n", until) != net::IoResult::done)
-                return closing("unwritten");
+                return closeWithoutResponse("unwritten");
         }
         std::string bytes;
         const auto io = net::receive(fd, bytes, until);
         if (io == net::IoResult::timedOut) return refuse(408, "the request took too long\n");
         // Danger: we ended its reading, and its client may write the last byte just now. It would get no
         // answer.
-        if (io == net::IoResult::closed && (first || parser.begun()) && toldToGo(connection))
+        if (io == net::IoResult::closed && (first || parser.begun()) && isAskedToClose(connection))
             return refuse(503, "no room, or stopping\n");
         if (io != net::IoResult::done) {
             const bool ended = io == net::IoResult::closed;
-            return closing(parser.begun() ? (ended ? "half_request" : "broken_request") : "by_client");
+            return closeWithoutResponse(parser.begun() ? (ended ? "half_request" : "broken_request")
+                                                       : "by_client");
         }
         parser.feed(bytes);
     }
     if (parser.state() == State::bad) return refuse(parser.errorStatus(), "the request can't be taken\n");
-    switch (rules::requestDisposition(parser.leftover(), net::unreadState(fd), toldToGo(connection))) {
-        case rules::RequestDisposition::answer: return Next::request;
+    switch (rules::requestDisposition(parser.leftover(), net::unreadState(fd), isAskedToClose(connection))) {
+        case rules::RequestDisposition::answer: return NextStep::request;
         case rules::RequestDisposition::rejectTrailingBytes:
             return refuse(400, "more follows than the request's length says\n");
         case rules::RequestDisposition::askToRetry: return refuse(503, "come again\n");
         case rules::RequestDisposition::drop: break;
     }
-    return closing("gone_before_answer");
+    return closeWithoutResponse("gone_before_answer");
 }
 
-Front::Next Front::answer(int fd, http::Message& request, net::Deadline came, bool stays) {
-    bool keep = stays && request.keepsAlive();
-    const auto until = net::Steady::now() + kWrite;
-    const auto say = [&](int status, const http::Fields& fields, std::string_view body) {
+HttpServer::NextStep HttpServer::respond(int fd, http::Message& request, net::Deadline receivedAt,
+                                         bool mayKeepAlive) {
+    bool keep = mayKeepAlive && request.keepsAlive();
+    const auto until = net::Steady::now() + kWriteTimeout;
+    const auto sendResponse = [&](int status, const http::Fields& fields, std::string_view body) {
         keep = keep && !stopping_;  // asked last: a stop may have come since
         countAnswer(status);
         const auto text = http::formatResponse(status, fields, request.method == "HEAD" ? "" : body, keep);
-        if (net::sendAll(fd, text, until) != net::IoResult::done) return closing("unwritten");
-        return keep ? Next::request : Next::drain;
+        if (net::sendAll(fd, text, until) != net::IoResult::done) return closeWithoutResponse("unwritten");
+        return keep ? NextStep::request : NextStep::drain;
     };
-    const auto asked = intake(config_, request, came);
-    if (const auto* denied = std::get_if<Denied>(&asked)) {
+    const auto query = interpretRequest(config_, request, receivedAt);
+    if (const auto* denied = std::get_if<RequestError>(&query)) {
         keep = false;  // who gets that wrong may get the next one's beginning wrong too
-        return say(denied->status, {}, denied->why + "\n");
+        return sendResponse(denied->status, {}, denied->message + "\n");
     }
-    if (std::holds_alternative<Metrics>(asked))
-        return metrics_ ? say(200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics_())
-                        : say(404, {}, "no such path\n");
-    if (std::holds_alternative<Ready>(asked))
-        return ready_ ? say(200, {}, "ready\n") : say(503, {}, "stopping\n");
-    const auto& message = std::get<decisions::Submission>(asked);
+    if (std::holds_alternative<MetricsQuery>(query))
+        return metrics_ ? sendResponse(200, {{"Content-Type", "text/plain; version=0.0.4"}}, metrics_())
+                        : sendResponse(404, {}, "no such path\n");
+    if (std::holds_alternative<ReadinessQuery>(query))
+        return ready_ ? sendResponse(200, {}, "ready\n") : sendResponse(503, {}, "stopping\n");
+    const auto& message = std::get<decisions::Submission>(query);
     const auto verdict = decisions_.submit(message);
     switch (verdict.kind) {
         case decisions::SubmissionResult::Kind::accepted: {
-            const auto next = say(202, {}, "");
+            const auto next = sendResponse(202, {}, "");
             // The client closed the connection: it may hand the message in again, and this one counts for
             // nothing.
-            if (next == Next::close) decisions_.withdraw(message.id);
+            if (next == NextStep::close) decisions_.withdraw(message.id);
             return next;
         }
         case decisions::SubmissionResult::Kind::refused:
-            if (verdict.retryAfter.count() <= 0) return say(503, {}, "refused\n");
-            return say(503, {{"Retry-After", seconds(verdict.retryAfter)}}, "refused\n");
-        case decisions::SubmissionResult::Kind::failed: return say(500, {}, "failed\n");
+            if (verdict.retryAfter.count() <= 0) return sendResponse(503, {}, "refused\n");
+            return sendResponse(503, {{"Retry-After", seconds(verdict.retryAfter)}}, "refused\n");
+        case decisions::SubmissionResult::Kind::failed: return sendResponse(500, {}, "failed\n");
         case decisions::SubmissionResult::Kind::conflict:
-            return say(409, {}, "the id is another message's\n");
+            return sendResponse(409, {}, "the id is another message's\n");
     }
-    return Next::close;
+    return NextStep::close;
 }
 
 }  // namespace laurelhaven::front
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -18,19 +18,19 @@
 
 namespace laurelhaven::front {
 
-class Front {
+class HttpServer {
   public:
     /// Listens from here on; throws std::system_error where it can't.
-    Front(const config::Config& config, decisions::Decisions& decisions);
-    ~Front() { stop(); }
+    HttpServer(const config::Config& config, decisions::Decisions& decisions);
+    ~HttpServer() { stop(); }
     void start();
     /// From now on /health/ready answers 503; everything else goes on.
-    void drain() { ready_ = false; }
+    void setNotReady() { ready_ = false; }
     /// What GET /metrics answers; nothing: 404. Set before start().
     void setMetrics(std::function<std::string()> text) { metrics_ = std::move(text); }
     /// No new connections; those open end after the request that they are in.
     void stop();
-    std::size_t connections();
+    std::size_t connectionCount();
     int port() const { return net::localPort(listener_.get()); }
 
   private:
@@ -39,34 +39,34 @@
         using Phase = rules::ConnectionPhase;
         Phase phase = Phase::fresh;
         net::Deadline since;
-        bool shut = false;
+        bool askedToClose = false;
         threads::Thread thread;
     };
     using Connections = std::list<Connection>;
-    enum class Next { request, drain, close };
+    enum class NextStep { request, drain, close };
 
     void accept();
     void admit(net::Fd fd);
-    bool makeRoom(rules::CloseScope least);
-    void reap(std::unique_lock<std::mutex>& lock);
+    bool closeOneConnection(rules::CloseScope scope);
+    void removeClosed(std::unique_lock<std::mutex>& lock);
     void serve(Connection& connection);
-    void enter(Connection& connection, Connection::Phase phase);
-    static Next closing(std::string_view reason);
-    Next read(Connection& connection, http::Parser& parser, net::Deadline& came, bool first);
-    void tellToGo(Connection& connection);
-    bool toldToGo(const Connection& connection);
+    void setPhase(Connection& connection, Connection::Phase phase);
+    static NextStep closeWithoutResponse(std::string_view reason);
+    NextStep readRequest(Connection& connection, http::Parser& parser, net::Deadline& receivedAt, bool first);
+    void askToClose(Connection& connection);
+    bool isAskedToClose(const Connection& connection);
     /// `stays`: the connection may carry another request.
-    Next answer(int fd, http::Message& request, net::Deadline came, bool stays);
+    NextStep respond(int fd, http::Message& request, net::Deadline receivedAt, bool mayKeepAlive);
 
     const config::Config& config_;
     decisions::Decisions& decisions_;
     net::Fd listener_;
-    std::size_t most_;
+    std::size_t maxConnections_;
     std::function<std::string()> metrics_;
     /// stopping: answers say that the connection ends. deaf: nobody is let in any more. closing: whoever has
     /// sent nothing since is shut.
-    std::atomic<bool> ready_{false}, stopping_{false}, deaf_{false};
-    bool closing_ = false;
+    std::atomic<bool> ready_{false}, stopping_{false}, acceptStopped_{false};
+    bool closingIdle_ = false;
     std::mutex mutex_;
     std::condition_variable changed_;
     Connections connections_;
--- a/src/front/intake.hpp
+++ b/src/front/intake.hpp
@@ -12,17 +12,16 @@
 
 namespace laurelhaven::front {
 
-struct Ready {};    ///< asks whether the sender serves
-struct Metrics {};  ///< asks for counters and gauges
+struct ReadinessQuery {};  ///< asks whether the sender serves
+struct MetricsQuery {};    ///< asks for counters and gauges
 /// An answer that needs no decision.
-struct Denied {
+struct RequestError {
     int status = 400;
-    std::string why;
+    std::string message;
 };
 
 /// `came`: when the request's first byte did; the client's time runs from before then.
-std::variant<decisions::Submission, Ready, Metrics, Denied> intake(const config::Config& config,
-                                                                   http::Message& request,
-                                                                   decisions::TimePoint came);
+std::variant<decisions::Submission, ReadinessQuery, MetricsQuery, RequestError> interpretRequest(
+    const config::Config& config, http::Message& request, decisions::TimePoint receivedAt);
 
 }  // namespace laurelhaven::front
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -121,7 +121,7 @@
              notices.add(notice);
              capture.ended(notice);
          },
-         [&](const std::string& endpoint) { calls->closeIdle(endpoint); },
+         [&](const std::string& endpoint) { calls->closeIdleConnections(endpoint); },
          [&](const decisions::DueAttempt& call, const decisions::AttemptResult& result, auto took) {
              list->attemptFinished(call, result);
              capture.answered(call, result, took);
@@ -137,7 +137,7 @@
     roster::Roster roster(config, own.roster, decisions, recordClock);
     list = &roster;
     registry::DiscoveryWatch registry(discovery, roster, own.registry, config.seed);
-    front::Front front(config, decisions);
+    front::HttpServer front(config, decisions);
 
     metrics::setGauge("messages_held", [&] { return static_cast<double>(decisions.heldMessages()); });
     metrics::setGauge("attempts_out", [&] { return static_cast<double>(decisions.attemptsInFlight()); });
@@ -167,10 +167,10 @@
     log::info() << "stopping, " << decisions.heldMessages() << " messages held";
     const auto begun = std::chrono::steady_clock::now();
     const auto since = [&] { return std::chrono::steady_clock::now() - begun; };
-    front.drain();
+    front.setNotReady();
     bool hurry = false;  // a second signal
     const auto nothingLeft = [&] {
-        return since() > kLeastServeOn && front.connections() == 0 && decisions.heldMessages() == 0 &&
+        return since() > kLeastServeOn && front.connectionCount() == 0 && decisions.heldMessages() == 0 &&
                notices.pendingCount() == 0;
     };
     while (!hurry && since() < kServeOn && !nothingLeft()) hurry = stopIn(kLook);
--- a/tests/front/turn_away_test.cpp
+++ b/tests/front/turn_away_test.cpp
@@ -81,7 +81,7 @@
         {{"BALANCER_STATE", "/tmp"}});
     check::NoStore store_;
     decisions::Decisions facade_{config_, store_, {}};
-    front::Front front_{config_, facade_};
+    front::HttpServer front_{config_, facade_};
     std::vector<net::Fd> clients_;
 };
 
--- a/tests/laurelhaven/parser_test.cpp
+++ b/tests/laurelhaven/parser_test.cpp
@@ -126,7 +126,7 @@
     Parser parser(Parser::Role::response);
     CHECK(parser.feed("HTTP/1.1 429 Wait\nSrv-Load: \x01\xff\nRetry-After: 0.5\nContent-Length: 0\n\n") ==
           State::complete);
-    CHECK(delivery::meaning(parser.message()).wait == std::chrono::milliseconds(500));
+    CHECK(delivery::interpretResponse(parser.message()).wait == std::chrono::milliseconds(500));
 }
 
 void registryLinesInCutsAndGarbage() {
@@ -205,7 +205,7 @@
     const auto of = [](const std::string& head) {
         Parser parser(Parser::Role::response);
         CHECK(parser.feed("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n") == State::complete);
-        return delivery::meaning(parser.message());
+        return delivery::interpretResponse(parser.message());
     };
     CHECK(of("200 OK").status == AttemptStatus::delivered && of("500 E").status == AttemptStatus::error);
     const auto wait = of("429 Wait\r\nRetry-After: 0.43\r\nSrv-Load: x0=0.4,x1=25");
@@ -229,9 +229,9 @@
         if (!from.empty()) text.replace(text.find(from), from.size(), to);
         Parser parser(Parser::Role::request);
         CHECK(parser.feed(text) == State::complete);
-        const auto asked = front::intake(config, parser.message(), decisions::Steady::now());
-        const auto* denied = std::get_if<front::Denied>(&asked);
-        return denied ? denied->status : std::holds_alternative<front::Ready>(asked) ? 200 : 202;
+        const auto asked = front::interpretRequest(config, parser.message(), decisions::Steady::now());
+        const auto* denied = std::get_if<front::RequestError>(&asked);
+        return denied ? denied->status : std::holds_alternative<front::ReadinessQuery>(asked) ? 200 : 202;
     };
     CHECK(status("", "") == 202);
     CHECK(status("POST /notice", "GET /health/ready?x") == 200);
--- a/tests/laurelhaven/race_test.cpp
+++ b/tests/laurelhaven/race_test.cpp
@@ -292,7 +292,7 @@
     config::Config config;
     NoStore store;
     decisions::Decisions facade;
-    front::Front front;
+    front::HttpServer front;
     const int port = front.port();  // asked before a stop gives it up
 };
 
--- a/tests/laurelhaven/serve_test.cpp
+++ b/tests/laurelhaven/serve_test.cpp
@@ -359,22 +359,22 @@
     Stub endpoint([](http::Message&) { return std::string("late copy"); });
     const auto to = *net::parseAddress(endpoint.at());
     const auto fresh = [&] { return net::connectTo(to, soon(), [](int) {}); };
-    delivery::Idle resting(hours(1), hours(2), 4);
-    resting.give("a", to.text, fresh());
-    CHECK(!resting.take("a", to.text));
-    delivery::Idle idle(milliseconds(0), hours(1), 4);
-    idle.give("a", to.text, fresh());
-    CHECK(!idle.take("b", to.text) && !idle.take("a", "127.0.0.1:1") && idle.take("a", to.text));
-    CHECK(!idle.take("a", to.text));
+    delivery::IdleConnections resting(hours(1), hours(2), 4);
+    resting.release("a", to.text, fresh());
+    CHECK(!resting.acquire("a", to.text));
+    delivery::IdleConnections idle(milliseconds(0), hours(1), 4);
+    idle.release("a", to.text, fresh());
+    CHECK(!idle.acquire("b", to.text) && !idle.acquire("a", "127.0.0.1:1") && idle.acquire("a", to.text));
+    CHECK(!idle.acquire("a", to.text));
     auto spoilt = fresh();
     net::sendAll(spoilt.get(), "GET / HTTP/1.1\r\n\r\n", soon());
     CHECK(net::waitReadable(spoilt.get(), soon()));
-    idle.give("a", to.text, std::move(spoilt));
-    CHECK(!idle.take("a", to.text));
-    for (int i = 0; i < 6; ++i) idle.give(i < 3 ? "a" : "b", to.text, fresh());
-    CHECK(idle.take("a", to.text) && !idle.take("a", to.text));
-    idle.close("b");
-    CHECK(!idle.take("b", to.text));
+    idle.release("a", to.text, std::move(spoilt));
+    CHECK(!idle.acquire("a", to.text));
+    for (int i = 0; i < 6; ++i) idle.release(i < 3 ? "a" : "b", to.text, fresh());
+    CHECK(idle.acquire("a", to.text) && !idle.acquire("a", to.text));
+    idle.closeEndpoint("b");
+    CHECK(!idle.acquire("b", to.text));
 }
 
 // An answer that is spoilt delivers if its first line says 200, and is a failed attempt otherwise; its
