--- a/include/stoathub/stoathub.hpp
+++ b/include/stoathub/stoathub.hpp
@@ -59,7 +59,7 @@
 
 /// Properties shared by a kind of destinations.
 struct DestinationKind {
-    /// Each endpoint has a rate limit, announced waits and outages of its own, rather than the destination.
+    /// Its endpoints are separate routes: each has a rate limit, announced waits and outages of its own.
     bool separateRoutes = false;
 };
 
@@ -100,8 +100,10 @@
 
 /// What a previous run of the sender did with a message that has no final answer yet.
 struct PriorAttempts {
-    int attempts = 0;            ///< sent; the attempt limit holds across restarts
-    int failures = 0;            ///< attempts known to have failed, not counting rejected ones
+    /// Sent, or possibly sent; the attempt limit holds across restarts. Failed connects are not counted,
+    /// although they count within a run.
+    int attempts = 0;
+    int failures = 0;            ///< known failures, failed connects included, rejections not
     bool mayHaveRun = false;     ///< at least one of them may have run
     Duration sinceMayHaveRun{};  ///< since the first such attempt was sent; the key window spans restarts
 };
@@ -122,10 +124,10 @@
     error,          ///< answered with an error; it may have run
     rejected,       ///< refused before processing, for lack of capacity or because of a rate limit
     timeout,        ///< no answer in time; it may have run
-    connectFailed,  ///< no connection was established
+    connectFailed,  ///< no connection, or it failed before the whole request was written: it did not run
     reset,          ///< the connection broke; it may have run
     cancelled,      ///< cancelled by the sender; it may have run
-    notForwarded,   ///< not passed on to the service; counts as an attempt
+    notForwarded,   ///< an intermediary answered that it did not pass the request on; counts as an attempt
     unsent          ///< never left this machine, by a local failure or a rule; does not count as an attempt
 };
 /// How one attempt ended. Each Send is answered by exactly one Outcome.
@@ -160,7 +162,8 @@
 };
 
 /// What a previous run knew about a destination, or whether that knowledge has been confirmed. As an event it
-/// can only slow the sending down.
+/// never ends an outage or a warm-up, and sets the rate limit only where none is known. `unconfirmed` = false
+/// lifts the mark only while nothing has been delivered under it and no attempt is in flight.
 struct DestinationHealth {
     DestinationId destination = 0;
     bool down = false;                        ///< in an outage
@@ -178,7 +181,8 @@
 // ---- actions ----
 
 /// Send the message to the endpoint, and abandon the attempt at `attemptDeadline`. An attempt that has not
-/// been sent by `sendBy` must not be sent; its result is then `notForwarded`.
+/// been sent by `sendBy` must not be sent; its result is then `unsent`. The caller may also report
+/// `notForwarded`, which counts as an attempt.
 struct Send {
     MessageId id;
     EndpointId endpoint;
