--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -16,15 +16,15 @@
 namespace laurelhaven::net {
 namespace {
 
-constexpr std::chrono::milliseconds kSocketRetryPause{20};  // before a socket is asked for again
+constexpr std::chrono::milliseconds kSocketRetryPause{20};  // between attempts to create a socket
 
-/// Waits for any of these events. False when the time is up first.
+/// Waits for any of the events. False if the deadline passes first.
 bool waitForEvents(int fd, short events, Deadline until) {
-    pollfd wait{fd, events, 0};
+    pollfd request{fd, events, 0};
     for (;;) {
         const auto left =
             std::chrono::duration_cast<std::chrono::milliseconds>(until - Steady::now()).count();
-        const int found = poll(&wait, 1, static_cast<int>(std::clamp<long>(left + 1, 0, 3600000)));
+        const int found = poll(&request, 1, static_cast<int>(std::clamp<long>(left + 1, 0, 3600000)));
         if (found > 0) return true;
         if (found == 0 || errno != EINTR) return false;
     }
@@ -42,17 +42,17 @@
 std::optional<Address> parseAddress(std::string_view text) {
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos) return {};
-    Address found;
-    found.text = text;
+    Address parsed;
+    parsed.text = text;
     const std::string host(text.substr(0, colon));
     const std::string_view port = text.substr(colon + 1);
     unsigned number = 0;
     const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), number);
     if (error != std::errc{} || end != port.data() + port.size() || number > 65535) return {};
-    found.socketAddress.sin_family = AF_INET;
-    found.socketAddress.sin_port = htons(static_cast<std::uint16_t>(number));
-    if (inet_pton(AF_INET, host.c_str(), &found.socketAddress.sin_addr) != 1) return {};
-    return found;
+    parsed.socketAddress.sin_family = AF_INET;
+    parsed.socketAddress.sin_port = htons(static_cast<std::uint16_t>(number));
+    if (inet_pton(AF_INET, host.c_str(), &parsed.socketAddress.sin_addr) != 1) return {};
+    return parsed;
 }
 
 Fd tcpSocket() {
@@ -95,7 +95,7 @@
     for (;;) {
         fd = Fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         if (fd) break;
-        if (Steady::now() >= until) fail("socket for");
+        if (Steady::now() >= until) fail("cannot create a socket for");
         std::this_thread::sleep_for(kSocketRetryPause);
     }
     const int on = 1;
@@ -113,9 +113,9 @@
     return ntohs(at.sin_port);
 }
 
-// Danger: the kernel keeps limits set by SO_RCVTIMEO and SO_SNDTIMEO in coarse steps that grow with the span,
-// and ends a call up to an eighth of it late; the end of a message whose call hangs would come too late. A
-// wait in poll() ends in time.
+// Waits in poll() rather than under SO_RCVTIMEO and SO_SNDTIMEO: the kernel's timers for those have a
+// resolution that becomes coarser with the time-out, so that a call returns up to an eighth of the time-out
+// late. The end of a message whose attempt hangs would then be reported too late. poll() returns on time.
 IoResult sendAll(int fd, std::string_view bytes, Deadline until) {
     while (!bytes.empty()) {
         if (Steady::now() >= until) return IoResult::timedOut;
@@ -128,7 +128,7 @@
 }
 
 IoResult receive(int fd, std::string& into, Deadline until) {
-    char bytes[4096];  // on the stack of each of many threads
+    char bytes[4096];  // small, as many threads have it on their small stacks
     while (Steady::now() < until) {
         if (!waitReadable(fd, until)) return IoResult::timedOut;
         const auto got = recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
@@ -155,27 +155,27 @@
 }
 
 bool hasPendingConnection(int listener) {
-    pollfd look{listener, POLLIN, 0};
+    pollfd pending{listener, POLLIN, 0};
     int found = -1;
     do {
-        found = poll(&look, 1, 0);
+        found = poll(&pending, 1, 0);
     } while (found < 0 && errno == EINTR);
     return found > 0;
 }
 
 void discard(int fd, std::size_t most, Deadline until) {
-    for (std::size_t all = 0; all < most && Steady::now() < until;) {
+    for (std::size_t dropped = 0; dropped < most && Steady::now() < until;) {
         if (!waitReadable(fd, until)) return;
         const auto got = recv(fd, nullptr, 1 << 20, MSG_TRUNC | MSG_DONTWAIT);
-        if (got > 0) all += static_cast<std::size_t>(got);
+        if (got > 0) dropped += static_cast<std::size_t>(got);
         else if (got == 0 || (errno != EINTR && !wouldBlock())) return;
     }
 }
 
 void discardUnread(int fd, std::size_t most) {
-    for (std::size_t all = 0; all < most;) {
+    for (std::size_t dropped = 0; dropped < most;) {
         const auto got = recv(fd, nullptr, 1 << 20, MSG_TRUNC | MSG_DONTWAIT);
-        if (got > 0) all += static_cast<std::size_t>(got);
+        if (got > 0) dropped += static_cast<std::size_t>(got);
         else if (got == 0 || errno != EINTR) return;
     }
 }
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,7 @@
-// Blocking TCP sockets with a time limit on every call. All ends of a descriptor go through Fd.
+// IPv4 TCP sockets whose blocking calls end at a deadline on the steady clock. Fd closes the descriptors.
+//
+// The functions keep no state. Calls on one descriptor from several threads are safe as far as the kernel
+// allows; the caller makes sure that no thread uses a descriptor that another one closes.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,7 +18,7 @@
 using Steady = std::chrono::steady_clock;
 using Deadline = Steady::time_point;
 
-/// Owns a file descriptor.
+/// Owns a file descriptor and closes it on destruction.
 class Fd {
   public:
     Fd() = default;
@@ -35,62 +38,76 @@
 };
 
 struct Address {
-    std::string text;  ///< as it was given
+    std::string text;  ///< as parsed, "host:port"
     sockaddr_in socketAddress{};
 };
-/// "127.0.0.1:8443"; there is no DNS. Nothing where it is anything else.
+/// Parses an IPv4 address and port such as "127.0.0.1:8443". Host names are not resolved. Empty on any other
+/// text.
 std::optional<Address> parseAddress(std::string_view text);
 
-enum class IoResult { done, closed, broken, timedOut };
+enum class IoResult {
+    done,
+    closed,   ///< the peer has ended its sending
+    broken,   ///< the connection failed
+    timedOut  ///< the deadline passed
+};
 
-/// Connected, or empty when the time is up or the other side refused. `watch` sees the descriptor before the
-/// connect begins, so that another thread can shut it.
+/// Returns a connected socket; empty if the deadline passes or the connect fails. Passes the descriptor to
+/// `onSocket` before the connect starts, so that another thread can shut it down.
 template <class OnSocket>
 Fd connectTo(const Address& to, Deadline until, OnSocket&& onSocket);
 
+/// Creates a blocking TCP socket with TCP_NODELAY set. Empty if the machine has no socket to give.
 Fd tcpSocket();
-/// A connect in two steps: begun, which waits for nothing, and waited for. Danger: a descriptor that is shut
-/// before its connect has begun is not shut at all. Whoever may be called off sees to that between the two,
-/// when shutting ends the connect. False: it has failed, or was ended.
+/// Result of beginConnect().
 enum class ConnectStart {
     started,
-    refused,      ///< by the other side
-    localFailure  ///< this machine lacks a port, a route or a buffer: that says nothing of the other side
+    refused,      ///< by the peer or the network on the way to it
+    localFailure  ///< this machine lacks a port, a route or a buffer, which says nothing about the peer
 };
+/// Starts a connect without waiting, and makes the socket non-blocking. A shutdown of a descriptor whose
+/// connect has not started has no effect. A caller that can be cancelled therefore checks for cancellation
+/// between beginConnect() and finishConnect(): from then on a shutdown ends the connect.
 ConnectStart beginConnect(int fd, const Address& to);
+/// Waits for the connect to end and makes the socket blocking again. False if the connect failed, was shut
+/// down or did not end by the deadline.
 bool finishConnect(int fd, Deadline until);
+/// Both steps of a connect. True if the socket is connected by the deadline.
 inline bool connectBy(int fd, const Address& to, Deadline until) {
     return beginConnect(fd, to) == ConnectStart::started && finishConnect(fd, until);
 }
-/// Asks for a socket for so long where the machine has none. Throws std::system_error.
+/// Binds and listens. While the machine has no free socket, tries again for `retryFor`. Throws
+/// std::system_error.
 Fd listenOn(const Address& at, int backlog, std::chrono::milliseconds retryFor = {});
-/// The port that a listening socket got.
+/// The local port of a socket, as for one that was bound to port 0. Returns 0 on failure.
 int localPort(int fd);
 
-/// All of the bytes, or how it went wrong. Never raises SIGPIPE.
+/// Sends all bytes. Never raises SIGPIPE.
 IoResult sendAll(int fd, std::string_view bytes, Deadline until);
-/// Some bytes, appended to `into`.
+/// Waits for bytes and appends those that have arrived to `into`, up to 4096 at a time. Reads nothing once
+/// the deadline has passed.
 IoResult receive(int fd, std::string& into, Deadline until);
-/// Waits for bytes or the end of the other side. False when the time is up first.
+/// Waits until bytes have arrived or the peer has ended its sending. False if the deadline passes first.
 bool waitReadable(int fd, Deadline until);
-/// What stands unread on a connection just now.
+/// What a connection has to read at the time of the call.
 enum class UnreadState {
     nothing,
     bytes,
-    end,    ///< the other side has ended its sending
-    broken  ///< the connection is gone
+    end,    ///< the peer has ended its sending
+    broken  ///< the connection failed
 };
+/// Looks without waiting, and consumes nothing.
 UnreadState unreadState(int fd);
-/// True while a listener has a connection that nobody has accepted.
+/// True while a listener has a connection that is not yet accepted.
 bool hasPendingConnection(int listener);
-/// True while the other side has neither sent anything unasked nor gone.
+/// True if there is nothing to read and the peer has not closed, so that an idle connection can be reused.
 inline bool isIdle(int fd) { return unreadState(fd) == UnreadState::nothing; }
-/// Reads and drops what comes, at no cost of copying, until the other side ends, the time is up or so many
-/// bytes have gone by.
+/// Reads and drops incoming bytes, without copying them, until the peer ends its sending, the deadline passes
+/// or at least `most` bytes were dropped.
 void discard(int fd, std::size_t most, Deadline until);
-/// Drops what has come already, up to so many bytes, and waits for nothing.
+/// Drops bytes that have already arrived, until none or at least `most` were dropped. Does not wait.
 void discardUnread(int fd, std::size_t most);
-/// Ends sending and receiving, from any thread; the descriptor stays open.
+/// End sending, receiving or both. Callable from any thread; the descriptor stays open.
 void shutdownBoth(int fd);
 void shutdownRead(int fd);
 void shutdownWrite(int fd);
--- a/tests/net/time_limits_test.cpp
+++ b/tests/net/time_limits_test.cpp
@@ -1,5 +1,6 @@
-// Reads and writes end when their time is up, and not a part of it later: a call that got no answer must be
-// given up while there is time to tell its message's end.
+// Reads and writes end at their deadline, not a fraction of the time-out later, as they do under SO_RCVTIMEO
+// and SO_SNDTIMEO. An attempt that gets no answer must end while there is time to report the end of its
+// message.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -15,57 +16,59 @@
 using namespace laurelhaven;
 using std::chrono::milliseconds;
 
-// A busy machine wakes a thread some milliseconds late, whatever its time limit; ends have 350 ms in all.
-constexpr milliseconds kMostLate{120};
-constexpr std::array<int, 8> kSpansMs{2110, 2390, 2670, 2950, 3230, 3510, 3790, 4070};
+// A busy machine wakes a thread some milliseconds late, whatever its time-out. A message's end has 350 ms in
+// all to be reported.
+constexpr milliseconds kMaxDelay{120};
+constexpr std::array<int, 8> kTimeoutsMs{2110, 2390, 2670, 2950, 3230, 3510, 3790, 4070};
 
-struct Pair {
+struct SocketPair {
     std::array<int, 2> fds{-1, -1};
-    Pair() { EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, fds.data()), 0); }
-    ~Pair() {
+    SocketPair() { EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, fds.data()), 0); }
+    ~SocketPair() {
         for (const int fd : fds) close(fd);
     }
 };
 
-/// How late the slowest of several calls ends, each at its own time limit.
+/// How long after its deadline the latest of several concurrent calls returns, each with a time-out of its
+/// own.
 template <class Call>
-milliseconds latest(Call call) {
-    std::vector<milliseconds> late(kSpansMs.size());
+milliseconds maxDelay(Call call) {
+    std::vector<milliseconds> delays(kTimeoutsMs.size());
     std::vector<std::thread> threads;
-    for (std::size_t i = 0; i < kSpansMs.size(); ++i)
+    for (std::size_t i = 0; i < kTimeoutsMs.size(); ++i)
         threads.emplace_back([&, i] {
-            const Pair pair;
-            const auto until = net::Steady::now() + milliseconds(kSpansMs[i]);
+            const SocketPair pair;
+            const auto until = net::Steady::now() + milliseconds(kTimeoutsMs[i]);
             call(pair.fds[0], until);
-            late[i] = std::chrono::duration_cast<milliseconds>(net::Steady::now() - until);
+            delays[i] = std::chrono::duration_cast<milliseconds>(net::Steady::now() - until);
         });
     for (auto& thread : threads) thread.join();
-    return *std::max_element(late.begin(), late.end());
+    return *std::max_element(delays.begin(), delays.end());
 }
 
-TEST(TimeLimits, AReadThatGetsNothingEndsInTime) {
-    EXPECT_LE(latest([](int fd, net::Deadline until) {
+TEST(TimeLimits, ReadWithoutDataEndsAtItsDeadline) {
+    EXPECT_LE(maxDelay([](int fd, net::Deadline until) {
                   std::string got;
                   EXPECT_EQ(net::receive(fd, got, until), net::IoResult::timedOut);
               }),
-              kMostLate);
+              kMaxDelay);
 }
 
-TEST(TimeLimits, AWriteThatIsNotTakenEndsInTime) {
-    EXPECT_LE(latest([](int fd, net::Deadline until) {
-                  const std::string much(8 << 20, 'x');
-                  EXPECT_EQ(net::sendAll(fd, much, until), net::IoResult::timedOut);
+TEST(TimeLimits, WriteToAPeerThatDoesNotReadEndsAtItsDeadline) {
+    EXPECT_LE(maxDelay([](int fd, net::Deadline until) {
+                  const std::string data(8 << 20, 'x');
+                  EXPECT_EQ(net::sendAll(fd, data, until), net::IoResult::timedOut);
               }),
-              kMostLate);
+              kMaxDelay);
 }
 
-TEST(TimeLimits, WhatIsDroppedIsDroppedForNoLonger) {
-    EXPECT_LE(latest([](int fd, net::Deadline until) { net::discard(fd, 1 << 20, until); }), kMostLate);
+TEST(TimeLimits, DiscardEndsAtItsDeadline) {
+    EXPECT_LE(maxDelay([](int fd, net::Deadline until) { net::discard(fd, 1 << 20, until); }), kMaxDelay);
 }
 
-// What has come is read; a limit that has passed reads nothing more.
-TEST(TimeLimits, AReadTakesWhatHasCome) {
-    const Pair pair;
+// Bytes that have arrived are read, but not once the deadline has passed.
+TEST(TimeLimits, ReadReturnsBytesThatHaveArrived) {
+    const SocketPair pair;
     ASSERT_EQ(send(pair.fds[1], "abc", 3, MSG_NOSIGNAL), 3);
     std::string got;
     EXPECT_EQ(net::receive(pair.fds[0], got, net::Steady::now()), net::IoResult::timedOut);
