--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -27,15 +27,15 @@
     });
 }
 
-bool hasNoControlBytes(std::string_view text) {  // no control bytes: they could smuggle a second header
+bool hasNoControlBytes(std::string_view text) {  // which could inject a second header
     return std::all_of(text.begin(), text.end(), [](char c) {
         const auto byte = static_cast<unsigned char>(c);
         return byte == '\t' || (byte >= 0x20 && byte != 0x7f);
     });
 }
 
-constexpr std::size_t kMaxLeadingBlankLines = 2;
-constexpr std::size_t kStatusCodeEnd = 13;  // "HTTP/1.1 200 "
+constexpr std::size_t kMaxLeadingBlankLines = 2;  // tolerated before a message
+constexpr std::size_t kStatusCodeEnd = 13;        // length of "HTTP/1.1 200 "
 
 const char* reasonPhrase(int status) {
     switch (status) {
@@ -113,15 +113,16 @@
     return state_ = State::bad;
 }
 
-/// False with the state still good: the line has not come whole.
+/// Takes the next line without its line end. False without state bad: the line is still incomplete.
 bool Parser::readLine(std::string_view& line, std::size_t most) {
     const auto end = buffer_.find('\n', consumed_);
     if ((end == std::string::npos ? buffer_.size() : end) - consumed_ > most) return fail(431), false;
     if (end == std::string::npos) return false;
     line = std::string_view(buffer_).substr(consumed_, end - consumed_);
     consumed_ = end + 1;
-    // Danger: readers that disagree on where a line ends see different requests in the same bytes. A client
-    // ends each line with both bytes; an endpoint's answer is for nobody else, and read more kindly.
+    // Servers that disagree on where a line ends see different requests in the same bytes (request
+    // smuggling). A request's lines must therefore end with CR LF. A response is not passed on to another
+    // server, so a bare LF is accepted there.
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     else if (role_ == Role::request) return fail(400), false;
     return true;
@@ -131,8 +132,7 @@
     std::string_view line;
     while (state_ == State::head && readLine(line, limits_.line)) {
         if (expectsFirstLine_) {
-            if (line.empty() && ++leadingBlankLines_ <= kMaxLeadingBlankLines)
-                continue;  // tolerated before a message
+            if (line.empty() && ++leadingBlankLines_ <= kMaxLeadingBlankLines) continue;
             expectsFirstLine_ = false;
             if (!parseFirstLine(line)) return fail(400);
         } else if (line.empty()) {
@@ -143,11 +143,12 @@
             if (!parseHeaderLine(line)) return fail(400);
         }
     }
-    // An answer whose first line has not ended may say enough already, or that it is none.
-    const auto begun = std::string_view(buffer_).substr(consumed_);
+    // A response's first line is parsed before it has ended: its status code counts, an invalid line is
+    // rejected.
+    const auto incompleteLine = std::string_view(buffer_).substr(consumed_);
     if (state_ == State::head && expectsFirstLine_ && role_ == Role::response &&
-        begun.size() >= kStatusCodeEnd && begun.find('\r') == std::string_view::npos &&
-        !parseFirstLine(begun))
+        incompleteLine.size() >= kStatusCodeEnd && incompleteLine.find('\r') == std::string_view::npos &&
+        !parseFirstLine(incompleteLine))
         return fail(400);
     while (state_ == State::body && readBody()) {
     }
@@ -171,20 +172,21 @@
         message_.status = static_cast<int>(*code);
         return true;
     }
-    const auto one = line.find(' ');
-    const auto two = line.rfind(' ');
-    if (one == std::string_view::npos || two == one) return false;
-    message_.method = line.substr(0, one);
-    message_.target = line.substr(one + 1, two - one - 1);
+    const auto firstSpace = line.find(' ');
+    const auto lastSpace = line.rfind(' ');
+    if (firstSpace == std::string_view::npos || lastSpace == firstSpace) return false;
+    message_.method = line.substr(0, firstSpace);
+    message_.target = line.substr(firstSpace + 1, lastSpace - firstSpace - 1);
     return isToken(message_.method) && !message_.target.empty() &&
-           message_.target.find(' ') == std::string::npos && version(line.substr(two + 1));
+           message_.target.find(' ') == std::string::npos && version(line.substr(lastSpace + 1));
 }
 
 bool Parser::parseHeaderLine(std::string_view line) {
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || !isToken(line.substr(0, colon))) return false;
     const auto value = trimmed(line.substr(colon + 1));
-    // An answer's fields are passed on to nobody, and what is wrong in one does not spoil the others.
+    // A response's fields are not passed on to other programs, and an invalid byte in one of them does not
+    // affect the others.
     if (role_ == Role::request && !hasNoControlBytes(value)) return false;
     message_.headers.all.emplace_back(line.substr(0, colon), value);
     return true;
@@ -195,7 +197,7 @@
     const auto* coding = headers.find("Transfer-Encoding");
     const auto* length = headers.find("Content-Length");
     const int status = message_.status;
-    // Danger: two lengths, and the next message would begin at a guess: a body might hide a request.
+    // With two lengths the start of the next message is ambiguous, and a body could hide a request.
     const auto repeated = [&](std::string_view name) { return headers.count(name) > 1; };
     if ((coding && length) || repeated("Transfer-Encoding") || repeated("Content-Length"))
         return fail(400), false;
@@ -220,11 +222,11 @@
     return true;
 }
 
-/// One step through the body. False: more bytes are needed, or the state has changed.
+/// Parses one part of the body. False if more bytes are needed or the state has changed.
 bool Parser::readBody() {
-    const std::size_t ready = buffer_.size() - consumed_;
+    const std::size_t available = buffer_.size() - consumed_;
     const auto take = [&](std::size_t most) {
-        const std::size_t n = std::min(ready, most);
+        const std::size_t n = std::min(available, most);
         if (message_.body.size() + n > limits_.body) return fail(413), false;
         message_.body.append(buffer_, consumed_, n);
         consumed_ += n;
@@ -236,11 +238,11 @@
         case BodyPart::length:
             if (take(remaining_) && remaining_ == 0) state_ = State::complete;
             return false;
-        case BodyPart::untilClose: take(ready); return false;
+        case BodyPart::untilClose: take(available); return false;
         case BodyPart::chunkSize: {
             if (!readLine(line, limits_.line)) return false;
             const auto digits = line.substr(0, line.find(';'));
-            headerBytes_ += line.size() - digits.size();  // extensions: no more of them than of header lines
+            headerBytes_ += line.size() - digits.size();  // extensions count towards the limit of the headers
             if (headerBytes_ > limits_.headers) return fail(431), false;
             std::size_t size = 0;
             const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), size, 16);
@@ -252,7 +254,7 @@
             return true;
         }
         case BodyPart::chunkData:
-            if (ready == 0 || !take(remaining_)) return false;
+            if (available == 0 || !take(remaining_)) return false;
             if (remaining_ == 0) bodyPart_ = BodyPart::chunkEnd;
             return true;
         case BodyPart::chunkEnd:
--- a/tests/laurelhaven/parser_test.cpp
+++ b/tests/laurelhaven/parser_test.cpp
@@ -1,4 +1,5 @@
-// The parsers against random cuts of valid messages and against random garbage, from fixed seeds.
+// The parsers of HTTP messages, endpoint lists and the configuration: valid input cut at random places,
+// random garbage (both from fixed seeds), limits, and the meaning of responses and requests.
 #include <vector>
 
 #include "check.hpp"
@@ -26,12 +27,12 @@
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\nab\n\n\r\nA\r\n0123456789\r\n0\r\nT: "
     "1\r\n\r\n";
 
-int refusal(const std::string& text, http::Limits limits = {}) {
+int errorStatus(const std::string& text, http::Limits limits = {}) {
     Parser parser(Parser::Role::request, limits);
     return parser.feed(text) == State::bad ? parser.errorStatus() : 0;
 }
 
-void cutsGiveWhatTheWholeGives() {
+void messagesInPiecesParseLikeWholeOnes() {
     check::Chance chance(1);
     for (int round = 0; round < 2000; ++round) {
         Parser requests(Parser::Role::request);
@@ -62,7 +63,7 @@
     }
 }
 
-void garbageNeverGetsThroughUnnoticed() {
+void garbageIsRejected() {
     check::Chance chance(2);
     int bad = 0;
     for (int round = 0; round < 20000; ++round) {
@@ -79,41 +80,44 @@
     CHECK(bad > 2000 && bad < 20000);
 }
 
-void limitsAreKept() {
+void limitsAndMalformedMessagesAreRejected() {
     const auto post = [](const std::string& headers) { return "POST / HTTP/1.1\r\n" + headers + "\r\n"; };
-    CHECK(refusal(post("Content-Length: 65536\r\n")) == 0);
-    CHECK(refusal(post("Content-Length: 65537\r\n")) == 413);
-    CHECK(refusal(post("Transfer-Encoding: chunked\r\n") + "fffffff\r\n") == 413);
-    CHECK(refusal(post("X: " + std::string(5000, 'x') + "\r\n")) == 431);
-    CHECK(refusal(std::string(5000, 'x')) == 431);
+    CHECK(errorStatus(post("Content-Length: 65536\r\n")) == 0);
+    CHECK(errorStatus(post("Content-Length: 65537\r\n")) == 413);
+    CHECK(errorStatus(post("Transfer-Encoding: chunked\r\n") + "fffffff\r\n") == 413);
+    CHECK(errorStatus(post("X: " + std::string(5000, 'x') + "\r\n")) == 431);
+    CHECK(errorStatus(std::string(5000, 'x')) == 431);
     std::string many;
     for (int i = 0; i < 2000; ++i) many += "X: 0123456789\r\n";
-    CHECK(refusal(post(many)) == 431);
-    CHECK(refusal(post("Content-Length: 1\r\nContent-Length: 2\r\n")) == 400);
-    CHECK(refusal(post("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n")) == 400);
-    CHECK(refusal(post("Content-Length: -1\r\n")) == 400 && refusal(post("Content-Length: +1\r\n")) == 400);
-    CHECK(refusal(post("Content-Length: 1\r\nContent-Length: 1\r\n")) == 400);
-    CHECK(refusal(post("Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n")) == 400);
-    CHECK(refusal("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n") == 400);
-    CHECK(refusal(post("Content-Length : 1\r\n")) == 400 && refusal(post(" X: folded\r\n")) == 400);
-    CHECK(refusal("POST / HTTP/1.1\n") == 400 && refusal(post("X: 1\n")) == 400);  // odd line ends
-    CHECK(refusal(post("X: a\rb\r\n")) == 400 && refusal("\r\n\r\n\r\n\r\n") == 400);
+    CHECK(errorStatus(post(many)) == 431);
+    CHECK(errorStatus(post("Content-Length: 1\r\nContent-Length: 2\r\n")) == 400);
+    CHECK(errorStatus(post("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n")) == 400);
+    CHECK(errorStatus(post("Content-Length: -1\r\n")) == 400 &&
+          errorStatus(post("Content-Length: +1\r\n")) == 400);
+    CHECK(errorStatus(post("Content-Length: 1\r\nContent-Length: 1\r\n")) == 400);
+    CHECK(errorStatus(post("Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n")) == 400);
+    CHECK(errorStatus("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n") == 400);
+    CHECK(errorStatus(post("Content-Length : 1\r\n")) == 400 && errorStatus(post(" X: folded\r\n")) == 400);
+    CHECK(errorStatus("POST / HTTP/1.1\n") == 400 && errorStatus(post("X: 1\n")) == 400);  // bare LF
+    CHECK(errorStatus(post("X: a\rb\r\n")) == 400 && errorStatus("\r\n\r\n\r\n\r\n") == 400);
     for (const char* chunk :
          {"-1\r\n", "0x1\r\n", " 1\r\n", "\r\n", "1\n", "1\r\nab\r\n", "ffffffffffffffffff\r\n"})
-        CHECK(refusal(post("Transfer-Encoding: chunked\r\n") + chunk) == 400);
-    std::string extended;  // chunks of one byte, each with far more beside it
+        CHECK(errorStatus(post("Transfer-Encoding: chunked\r\n") + chunk) == 400);
+    std::string extended;  // chunks of one byte, each with a long extension
     for (int i = 0; i < 50; ++i) extended += "1;" + std::string(1000, 'x') + "\r\na\r\n";
-    CHECK(refusal(post("Transfer-Encoding: chunked\r\n") + extended) == 431);
-    CHECK(refusal(post("Transfer-Encoding: gzip\r\n")) == 501);
-    CHECK(refusal("POST / HTTP/2.0\r\n") == 400 && refusal("POST /\r\n") == 400);
-    CHECK(refusal("POST / HTTP/1.1\r\nX\r\n") == 400 && refusal("POST / HTTP/1.1\r\nX: \x01\r\n") == 400);
-    Parser late(Parser::Role::response);  // a body that ends before its length
+    CHECK(errorStatus(post("Transfer-Encoding: chunked\r\n") + extended) == 431);
+    CHECK(errorStatus(post("Transfer-Encoding: gzip\r\n")) == 501);
+    CHECK(errorStatus("POST / HTTP/2.0\r\n") == 400 && errorStatus("POST /\r\n") == 400);
+    CHECK(errorStatus("POST / HTTP/1.1\r\nX\r\n") == 400 &&
+          errorStatus("POST / HTTP/1.1\r\nX: \x01\r\n") == 400);
+    Parser late(Parser::Role::response);  // a body shorter than its Content-Length
     late.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n12345");
     CHECK(late.finish() == State::bad);
 }
 
-// An endpoint's first line counts as soon as it says enough, and what is wrong in a field spoils no other.
-void answersAreReadKindly() {
+// A response's status counts before its first line has ended, and an invalid field does not affect the
+// others.
+void responsesAreParsedLeniently() {
     const auto status = [](const std::string& text) {
         Parser parser(Parser::Role::response);
         parser.feed(text);
@@ -129,24 +133,24 @@
     CHECK(delivery::interpretResponse(parser.message()).wait == std::chrono::milliseconds(500));
 }
 
-void registryLinesInCutsAndGarbage() {
+void endpointListsInPiecesAndGarbage() {
     check::Chance chance(3);
     const auto whole = check::list(41, true, check::entry("a", "127.0.0.1:80", 3));
     const auto change = check::list(43, false, check::entry("a", "127.0.0.1:80", 3, "DRAINING"));
     for (int round = 0; round < 500; ++round) {
         registry::ListStreamParser lines;
-        std::vector<listing::EndpointList> heard;
-        int beats = 0;
-        const auto keep = [&](const listing::EndpointList& list) { heard.push_back(list); };
+        std::vector<listing::EndpointList> received;
+        int heartbeats = 0;
+        const auto collect = [&](const listing::EndpointList& list) { received.push_back(list); };
         check::inCuts("\n" + whole + "\r\n\n" + change + "\n" + change + "\n", chance,
-                      [&](std::string_view part) { lines.feed(part, keep, [&] { ++beats; }); });
-        CHECK(heard.size() == 3 && beats == 2 && !lines.hasGap());
-        CHECK(heard[0].snapshot && heard[0].endpoints[0].destination == 3);
-        CHECK(heard[1].endpoints[0].status == listing::Status::draining);
-        // A line that can't be read is skipped and leaves a gap; the next one is read all the same.
-        lines.feed(check::list(44, false, "{}") + "\n" + check::list(45, false, "") + "\n", keep);
-        CHECK(lines.hasGap() && heard.size() == 4 && heard[3].index == 45);
-        lines.feed(check::garbage(chance, change) + "\n" + std::string(round, '[') + "\n", keep);
+                      [&](std::string_view part) { lines.feed(part, collect, [&] { ++heartbeats; }); });
+        CHECK(received.size() == 3 && heartbeats == 2 && !lines.hasGap());
+        CHECK(received[0].snapshot && received[0].endpoints[0].destination == 3);
+        CHECK(received[1].endpoints[0].status == listing::Status::draining);
+        // An unreadable line is skipped and leaves a gap; the next one is still read.
+        lines.feed(check::list(44, false, "{}") + "\n" + check::list(45, false, "") + "\n", collect);
+        CHECK(lines.hasGap() && received.size() == 4 && received[3].index == 45);
+        lines.feed(check::garbage(chance, change) + "\n" + std::string(round, '[') + "\n", collect);
     }
     for (const char bracket : {'[', '{'}) {
         registry::ListStreamParser deep;
@@ -155,12 +159,12 @@
     }
 }
 
-// A list may be indented over several lines, in whatever way. One that is cut off is skipped, and swallows
-// nothing of what comes after it; bytes that end nothing are no sign of life.
-void registryListsOverSeveralLines() {
+// A list may be indented over several lines in any way. A truncated list is skipped without affecting the
+// lists after it. Bytes that complete neither a list nor a heartbeat do not count as a sign of life.
+void endpointListsOverSeveralLines() {
     check::Chance chance(8);
     const auto change = check::list(43, false, check::entry("a{[\\\"", "127.0.0.1:80", 3, "DRAINING"));
-    const auto wide = [&](const std::string& indent) {
+    const auto indented = [&](const std::string& indent) {
         std::string text;
         bool quoted = false;
         for (std::size_t i = 0; i < change.size(); ++i) {
@@ -178,29 +182,29 @@
     };
     for (int round = 0; round < 300; ++round) {
         registry::ListStreamParser lines;
-        std::vector<listing::EndpointList> heard;
-        int beats = 0;
-        const auto keep = [&](const listing::EndpointList& list) { heard.push_back(list); };
-        check::inCuts(wide("") + "\n" + wide("  ") + change + "\n" + wide("\t") + "\r\n", chance,
+        std::vector<listing::EndpointList> received;
+        int heartbeats = 0;
+        const auto collect = [&](const listing::EndpointList& list) { received.push_back(list); };
+        check::inCuts(indented("") + "\n" + indented("  ") + change + "\n" + indented("\t") + "\r\n", chance,
                       [&](std::string_view part) {
-                          const auto before = heard.size() + static_cast<std::size_t>(beats);
-                          const bool ended = lines.feed(part, keep, [&] { ++beats; });
-                          CHECK(ended == (heard.size() + static_cast<std::size_t>(beats) > before));
+                          const auto before = received.size() + static_cast<std::size_t>(heartbeats);
+                          const bool ended = lines.feed(part, collect, [&] { ++heartbeats; });
+                          CHECK(ended == (received.size() + static_cast<std::size_t>(heartbeats) > before));
                       });
-        CHECK(heard.size() == 4 && beats == 2 && !lines.hasGap());
-        for (const auto& list : heard) CHECK(list.endpoints.at(0).name == "a{[\"");
-        // Cut anywhere, then a beat or another list, of either form.
-        const auto whole = wide("  ");
+        CHECK(received.size() == 4 && heartbeats == 2 && !lines.hasGap());
+        for (const auto& list : received) CHECK(list.endpoints.at(0).name == "a{[\"");
+        // Truncated at a random place, followed by a heartbeat or another list of either form.
+        const auto whole = indented("  ");
         const auto cut = whole.substr(0, 1 + check::below(chance, whole.size() - 3));
-        lines.feed(cut + "\n" + (round % 2 ? "\n" : "") + change + "\n" + wide(" "), keep);
-        CHECK(lines.hasGap() && heard.size() >= 5 && heard.back().index == 43);
-        if (round % 2) CHECK(heard.size() == 6);
-        lines.feed("\n" + check::list(44, true, "") + "\n", keep);
+        lines.feed(cut + "\n" + (round % 2 ? "\n" : "") + change + "\n" + indented(" "), collect);
+        CHECK(lines.hasGap() && received.size() >= 5 && received.back().index == 43);
+        if (round % 2) CHECK(received.size() == 6);
+        lines.feed("\n" + check::list(44, true, "") + "\n", collect);
         CHECK(!lines.hasGap());
     }
 }
 
-void answersMeanWhatTheTableSays() {
+void responsesMapToAttemptResults() {
     using decisions::AttemptStatus;
     const auto of = [](const std::string& head) {
         Parser parser(Parser::Role::response);
@@ -221,7 +225,7 @@
     CHECK(!load && !of("200 OK\r\nSrv-Load: x0=nan,x1=-1").allowedRate);
 }
 
-void badHandInsAreDenied() {
+void invalidSubmissionsAreRejected() {
     const auto config = config::fromText(check::configuration("127.0.0.1:0", "127.0.0.1:1", ""),
                                          {{"BALANCER_STATE", "/tmp"}});
     const auto status = [&](const std::string& from, const std::string& to) {
@@ -245,16 +249,16 @@
     CHECK(status("dest=7", "dest=x") == 400 && status("dest=7", "7") == 400 && status("5c0f", "") == 400);
 }
 
-// A request that came whole is answered, though we ended the reading; one whose client has gone may come
-// again.
-void whatCameWholeIsAnswered() {
+// A complete request is answered even if the sender has ended reading from the connection. A client that has
+// closed its side is asked to retry, unless it was already asked to close.
+void completeRequestsAreAnswered() {
     using net::UnreadState;
     using rules::RequestDisposition;
-    for (const bool told : {false, true}) {
-        CHECK(rules::requestDisposition(0, UnreadState::nothing, told) == RequestDisposition::answer);
-        CHECK(rules::requestDisposition(0, UnreadState::bytes, told) ==
+    for (const bool askedToClose : {false, true}) {
+        CHECK(rules::requestDisposition(0, UnreadState::nothing, askedToClose) == RequestDisposition::answer);
+        CHECK(rules::requestDisposition(0, UnreadState::bytes, askedToClose) ==
               RequestDisposition::rejectTrailingBytes);
-        CHECK(rules::requestDisposition(3, UnreadState::end, told) ==
+        CHECK(rules::requestDisposition(3, UnreadState::end, askedToClose) ==
               RequestDisposition::rejectTrailingBytes);
     }
     CHECK(rules::requestDisposition(0, UnreadState::end, false) == RequestDisposition::askToRetry);
@@ -263,7 +267,7 @@
     CHECK(rules::requestDisposition(0, UnreadState::end, true) == RequestDisposition::answer);
 }
 
-void badConfigurationIsNamed() {
+void invalidConfigurationIsRejected() {
     const auto good = check::configuration("127.0.0.1:0", "127.0.0.1:1", check::entry("a", "127.0.0.1:2", 1));
     const std::map<std::string, std::string> environment{{"BALANCER_STATE", "/tmp"}};
     const auto config = config::fromText(good, environment);
@@ -284,7 +288,7 @@
     CHECK(refused("token", "tokens") && refused("8c1f", "xyzw") && refused("{", "") &&
           refused("SERVING", "UP"));
     CHECK(refused("\"max-open\":6", "\"max-open\":0") && refused("\"settings\"", "\"set\""));
-    // What can't be served: no classes, two of one name, none, or times that make no sense.
+    // Invalid: no message classes, two of one name, a name missing, and times out of range.
     CHECK(
         refused(check::settings().substr(1, check::settings().find(R"(,"accounts")") - 1), R"("grades":[])"));
     const std::string notice = R"({"name":"notice",)";
@@ -292,17 +296,18 @@
     CHECK(refused("28000000000", "-1") && refused("\"slo-ns\":4000000000", "\"slo-ns\":0") &&
           refused("\"keepalive-ns\":5000000000", "\"keepalive-ns\":-5"));
     CHECK(refused("\"cold-from\":0.19", "\"cold-from\":19") && refused("15000000000", "1.5"));
-    // Unknown keys are passed over, and what is missing has its default.
+    // Unknown keys are ignored, and missing ones have their defaults.
     std::string text = good;
-    for (const char* gone :
+    for (const char* removed :
          {R"("max-calls":4,)", R"("attempts-cap":8,)", R"("connect-timeout-ns":1000000000,)",
           R"("keepalive-ns":5000000000,)", R"("max-open":6,)", R"("slo-ns":4000000000,)"})
-        text.replace(text.find(gone), std::string_view(gone).size(), R"("unheard-of":{"x":[1]},)");
+        text.replace(text.find(removed), std::string_view(removed).size(), R"("unheard-of":{"x":[1]},)");
     const auto usual = config::fromText(text, environment).settings;
     CHECK(usual.slots == 8 && usual.maxAttempts == 8 && usual.maxHeld == 100);
     CHECK(usual.connectTimeout == std::chrono::seconds(1) && usual.keepAlive == std::chrono::seconds(5));
     CHECK(usual.messageClasses[0].deliveryTarget == usual.messageClasses[0].timeToLive);
-    // No more descriptors are dealt out than there are, and as many as there were on the platform's machines.
+    // The shares never exceed the available descriptors. With as many as the platform's machines have,
+    // attempts get one per slot, up to a third.
     for (std::size_t sockets = 32; sockets <= 1024; sockets += 16)
         for (const int slots : {1, 4, 30, 400}) {
             auto c =
@@ -329,14 +334,14 @@
 
 int main() {
     log::setLevel(log::Level::off);
-    cutsGiveWhatTheWholeGives();
-    garbageNeverGetsThroughUnnoticed();
-    limitsAreKept();
-    answersAreReadKindly();
-    registryLinesInCutsAndGarbage();
-    registryListsOverSeveralLines();
-    answersMeanWhatTheTableSays();
-    badHandInsAreDenied();
-    whatCameWholeIsAnswered();
-    badConfigurationIsNamed();
+    messagesInPiecesParseLikeWholeOnes();
+    garbageIsRejected();
+    limitsAndMalformedMessagesAreRejected();
+    responsesAreParsedLeniently();
+    endpointListsInPiecesAndGarbage();
+    endpointListsOverSeveralLines();
+    responsesMapToAttemptResults();
+    invalidSubmissionsAreRejected();
+    completeRequestsAreAnswered();
+    invalidConfigurationIsRejected();
 }
