--- a/src/threads/thread.cpp
+++ b/src/threads/thread.cpp
@@ -11,8 +11,8 @@
 namespace laurelhaven::threads {
 namespace {
 
-// Hundreds of threads must fit into the sender's memory. Only what is touched counts; the sanitizers' frames
-// are wider.
+// Hundreds of threads must fit into the sender's memory, of which only the touched pages of a stack count.
+// Stack frames are larger under the sanitizers.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 constexpr std::size_t kStackBytes = 1024 * 1024;
 #else
@@ -24,14 +24,14 @@
     std::function<void()> body;
 };
 
-void* run(void* given) {
-    const std::unique_ptr<Start> start(static_cast<Start*>(given));
+void* run(void* argument) {
+    const std::unique_ptr<Start> start(static_cast<Start*>(argument));
     pthread_setname_np(pthread_self(), start->name.substr(0, 15).c_str());
     try {
         start->body();
     } catch (const std::exception& e) {
-        // A thread that is lost leaves a sender that looks well and does half its work: end it instead, the
-        // journal has all that is owed.
+        // Without this thread the sender would look healthy and do only part of its work. Ending the process
+        // loses nothing: the journal holds every message and notice that is pending.
         log::error() << "thread " << start->name << " died: " << e.what();
         std::abort();
     }
--- a/src/threads/thread.hpp
+++ b/src/threads/thread.hpp
@@ -1,4 +1,4 @@
-// A thread with a small stack, joined when its object goes.
+// A named thread with a small stack, which is joined on destruction.
 #pragma once
 
 #include <pthread.h>
@@ -8,10 +8,12 @@
 
 namespace laurelhaven::threads {
 
+/// Movable. An exception of type std::exception that leaves the body is logged and ends the process.
 class Thread {
   public:
     Thread() = default;
-    /// Throws std::system_error where no thread can be had.
+    /// Starts the thread. The name as the system shows it is cut to 15 bytes. Throws std::system_error if the
+    /// thread cannot be created.
     Thread(const std::string& name, std::function<void()> body);
     ~Thread() { join(); }
     Thread(Thread&& other) noexcept;
