--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -11,23 +11,23 @@
 namespace laurelhaven::log {
 namespace {
 
-std::atomic<Format> shape{Format::text};
+std::atomic<Format> outputFormat{Format::text};
 constexpr const char* kLevelNames[] = {"debug", "info", "warning", "error", "off"};
 constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
                                                  spdlog::level::warn, spdlog::level::err, spdlog::level::off};
 
 spdlog::logger& logger() {
-    static const auto made = [] {
-        auto one = std::make_shared<spdlog::logger>("laurelhaven",
-                                                    std::make_shared<spdlog::sinks::stderr_sink_mt>());
-        one->set_pattern("%E.%e %l %v");
-        one->flush_on(spdlog::level::trace);
-        return one;
+    static const auto instance = [] {
+        auto created = std::make_shared<spdlog::logger>("laurelhaven",
+                                                        std::make_shared<spdlog::sinks::stderr_sink_mt>());
+        created->set_pattern("%E.%e %l %v");
+        created->flush_on(spdlog::level::trace);
+        return created;
     }();
-    return *made;
+    return *instance;
 }
 
-std::string quoted(const Json::Value& value) {
+std::string toJson(const Json::Value& value) {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
     builder["emitUTF8"] = true;
@@ -39,7 +39,7 @@
 void setLevel(Level minimum) { logger().set_level(kLevels[static_cast<int>(minimum)]); }
 
 void setFormat(Format format) {
-    shape = format;
+    outputFormat = format;
     logger().set_pattern(format == Format::json ? R"({"time":%E.%e,"level":"%l",%v})" : "%E.%e %l %v");
 }
 
@@ -54,14 +54,14 @@
 Line::~Line() {
     if (!on_) return;
     std::string line;
-    if (shape.load(std::memory_order_relaxed) == Format::json) {
-        line = "\"message\":" + quoted(text_.str());
-        for (const auto& [key, value] : fields_) line += ",\"" + std::string(key) + "\":" + quoted(value);
+    if (outputFormat.load(std::memory_order_relaxed) == Format::json) {
+        line = "\"message\":" + toJson(text_.str());
+        for (const auto& [key, value] : fields_) line += ",\"" + std::string(key) + "\":" + toJson(value);
     } else {
         line = text_.str();
         for (const auto& [key, value] : fields_) {
-            const bool plain = value.find_first_of(" \t\"=") == std::string::npos && !value.empty();
-            line += " " + std::string(key) + "=" + (plain ? value : quoted(value));
+            const bool unquoted = value.find_first_of(" \t\"=") == std::string::npos && !value.empty();
+            line += " " + std::string(key) + "=" + (unquoted ? value : toJson(value));
         }
     }
     logger().log(kLevels[static_cast<int>(level_)], std::string_view(line));
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,6 +1,8 @@
-// Log lines on standard error, written by spdlog, with a level filter and two formats: text, and JSON with a
-// line an object. A line is gathered by <<; kv() adds a field, which stands as key=value in text and as a
-// member in JSON.
+// Log lines on standard error, written by spdlog, with a level filter and two formats: text, and JSON with
+// one object per line. The operator << appends to the message of a line; kv() adds a field, written as
+// key=value in text and as a member of the object in JSON.
+//
+// Thread-safe, except that one Line is used by one thread only.
 #pragma once
 
 #include <optional>
@@ -18,11 +20,12 @@
 /// Lines below this level are dropped.
 void setLevel(Level minimum);
 void setFormat(Format format);
-/// Nothing where the word names no level.
+/// Empty if the word names no level.
 std::optional<Level> parseLevel(std::string_view word);
+/// True if lines of this level are written.
 bool enabled(Level level);
 
-/// One line: gathered, and written whole when the object goes.
+/// One log line, which is written on destruction. A line below the level formats nothing.
 class Line {
   public:
     explicit Line(Level level) : level_(level), on_(enabled(level)) {}
