--- a/src/notices/notices.cpp
+++ b/src/notices/notices.cpp
@@ -15,14 +15,14 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kMaxBodyBytes = 32 * 1024;
-constexpr milliseconds kExchangeTimeout{
-    250};  // the answer comes at once; a dead connection must not make notices late
+// The platform answers at once. A longer wait on a dead connection would make notices late.
+constexpr milliseconds kExchangeTimeout{250};
 constexpr milliseconds kMinRetryPause{20};
-constexpr milliseconds kMaxRetryPause{100};  // an end is late 350 ms after its time
+constexpr milliseconds kMaxRetryPause{100};  // an end is late 350 ms after its due time
 
 }  // namespace
 
-// The id was checked at the front: it holds nothing that JSON would have to escape.
+// The HTTP server accepts only ids without characters that JSON has to escape.
 std::string formatNotice(const store::PendingNotice& notice) {
     std::string text = "{\"id\":\"" + notice.id + "\",\"state\":\"";
     text += notice.finalState == store::FinalState::failed ? "failed\"" : "returned\"";
@@ -52,14 +52,14 @@
 }
 
 void NoticeDispatcher::run() {
-    const auto stopped = stop_.get_token();
+    const auto stopToken = stop_.get_token();
     auto pause = kMinRetryPause;
     for (;;) {
         std::string body;
         std::vector<std::string> ids;
         {
             std::unique_lock lock(mutex_);
-            if (!wake_.wait(lock, stopped, [this] { return !queue_.empty(); })) return;
+            if (!wake_.wait(lock, stopToken, [this] { return !queue_.empty(); })) return;
             for (const auto& notice : queue_) {
                 if (!ids.empty() && (oneByOne_ || body.size() > kMaxBodyBytes)) break;
                 body += formatNotice(notice);
@@ -76,10 +76,11 @@
             .kv("first", ids.front())
             .kv("count", ids.size());
         if (result == PostResult::rejected && ids.size() > 1) {
-            oneByOne_ = true;  // one bad line must not hold up the others
+            oneByOne_ = true;  // an unreadable notice must not hold up the others
             continue;
         }
-        if (result == PostResult::rejected) log::error() << "notices: the platform can't read " << body;
+        if (result == PostResult::rejected)
+            log::error() << "notices: the platform rejected as unreadable: " << body;
         if (result == PostResult::acknowledged || result == PostResult::rejected) {
             pause = kMinRetryPause;
             onAcknowledged_(ids);
@@ -88,21 +89,22 @@
             oneByOne_ = oneByOne_ && !queue_.empty();
             continue;
         }
-        if (stopped.stop_requested()) return;
-        const std::stop_callback wake(location.moved, [this] {
+        if (stopToken.stop_requested()) return;
+        const std::stop_callback wakeOnMove(location.moved, [this] {
             const std::lock_guard lock(mutex_);
             wake_.notify_all();
         });
         std::unique_lock lock(mutex_);
         const bool moved =
-            wake_.wait_for(lock, stopped, pause, [&] { return location.moved.stop_requested(); });
-        // What this machine lacks for a moment is no reason to spare the platform.
+            wake_.wait_for(lock, stopToken, pause, [&] { return location.moved.stop_requested(); });
+        // A temporary shortage on this machine is no sign of an overloaded platform, so no backoff.
         pause =
             moved || result == PostResult::localError ? kMinRetryPause : std::min(2 * pause, kMaxRetryPause);
     }
 }
 
-// A notice whose answer was cut off by a move is told again at the new address: told twice does no harm.
+// If discovery moves during an exchange, the notices are posted again at the new address. Duplicates are
+// harmless.
 NoticeDispatcher::PostResult NoticeDispatcher::post(const discovery::Location& location,
                                                     const std::string& body) {
     if (fd_ && (connectedAddress_ != location.address.text || !net::isIdle(fd_.get()))) fd_.reset();
@@ -111,7 +113,8 @@
     connectedAddress_ = location.address.text;
     bool keepOpen = false;
     const PostResult result = fd_ ? exchange(location, body, reused, keepOpen) : PostResult::localError;
-    if (!keepOpen) fd_.reset();  // only now, when a move can't shut it any more
+    // Closed after exchange() only, so that its stop callback cannot shut down a descriptor that was reused.
+    if (!keepOpen) fd_.reset();
     return result;
 }
 
@@ -120,9 +123,9 @@
                                                         bool& keepOpen) {
     const int fd = fd_.get();
     const auto deadline = net::Steady::now() + kExchangeTimeout;
-    const auto start = reused ? net::ConnectStart::started : net::beginConnect(fd, location.address);
-    if (start == net::ConnectStart::localFailure) return PostResult::localError;
-    if (start != net::ConnectStart::started) return PostResult::noAnswer;
+    const auto connectStart = reused ? net::ConnectStart::started : net::beginConnect(fd, location.address);
+    if (connectStart == net::ConnectStart::localFailure) return PostResult::localError;
+    if (connectStart != net::ConnectStart::started) return PostResult::noAnswer;
     const std::stop_callback shutOnMove(location.moved, [fd] { net::shutdownBoth(fd); });
     if (!reused && !net::finishConnect(fd, deadline)) return PostResult::noAnswer;
     if (net::sendAll(fd, http::formatRequest("POST", "/v1/notices", connectedAddress_, {}, body), deadline) !=
@@ -135,7 +138,7 @@
             return PostResult::noAnswer;
     keepOpen = parser.message().keepsAlive();
     const int status = parser.message().status;
-    if (status / 100 != 2) log::warning() << "notices: answered " << status;
+    if (status / 100 != 2) log::warning() << "notices: the platform answered with status " << status;
     return status / 100 == 2 ? PostResult::acknowledged
            : status == 400   ? PostResult::rejected
                              : PostResult::noAnswer;
--- a/src/notices/notices.hpp
+++ b/src/notices/notices.hpp
@@ -1,4 +1,5 @@
-// Notices of ends to the platform: one thread, several lines a request, told again until they are heard.
+// Reports the ends of messages to the platform. One thread posts the notices, several per request, and
+// repeats each until the platform acknowledges it.
 #pragma once
 
 #include <condition_variable>
@@ -16,27 +17,33 @@
 
 namespace laurelhaven::notices {
 
-/// One line of the body.
+/// The notice as one line of JSON, with the line break; a request body holds one or more of them.
 std::string formatNotice(const store::PendingNotice& notice);
 
+/// A queue of notices and the thread that posts them, oldest first. add() and pendingCount() may be called
+/// from any thread.
 class NoticeDispatcher {
   public:
-    /// `heard` is told the ids that the platform has answered for.
+    /// `onAcknowledged` is called on the dispatcher's thread with the ids of notices that need no repeat:
+    /// those that the platform acknowledged, and one that it rejected as unreadable.
     NoticeDispatcher(const discovery::Discovery& discovery,
                      std::function<void(const std::vector<std::string>&)> onAcknowledged)
         : discovery_(discovery), onAcknowledged_(std::move(onAcknowledged)) {}
     ~NoticeDispatcher() { stop(); }
     void start();
+    /// Waits until the queue is empty or a request fails, then ends the thread. Notices still queued are not
+    /// posted.
     void stop();
     void add(const store::PendingNotice& notice);
+    /// Notices that the platform has not acknowledged yet.
     std::size_t pendingCount() const;
 
   private:
     enum class PostResult {
         acknowledged,
-        rejected,
-        noAnswer,   ///< nobody answered
-        localError  ///< this machine could not even ask
+        rejected,   ///< status 400: the platform cannot read the body
+        noAnswer,   ///< no connection, no complete response in time, or a status other than 2xx and 400
+        localError  ///< this machine lacked a socket, a port, a route or a buffer
     };
     void run();
     PostResult post(const discovery::Location& location, const std::string& body);
@@ -48,9 +55,9 @@
     mutable std::mutex mutex_;
     std::condition_variable_any wake_;
     std::deque<store::PendingNotice> queue_;
-    bool oneByOne_ = false;
-    net::Fd fd_;                    // used by the thread alone, as the next
-    std::string connectedAddress_;  // the address that it leads to
+    bool oneByOne_ = false;         // one notice per request, to find the one that the platform rejects
+    net::Fd fd_;                    // used by the thread only, as is connectedAddress_
+    std::string connectedAddress_;  // the address that fd_ is connected to
     std::stop_source stop_;
     threads::Thread thread_;
 };
--- a/src/serve/reloader.cpp
+++ b/src/serve/reloader.cpp
@@ -18,21 +18,21 @@
 }
 
 void Reloader::readConfig() {
-    const bool first = !retryAt_;
+    const bool firstTry = !retryAt_;
     retryAt_.reset();
     try {
-        const auto fresh = config::fromEnvironment();
-        const bool moved = discovery_.moveTo(fresh.discovery);
+        const auto newConfig = config::fromEnvironment();
+        const bool moved = discovery_.moveTo(newConfig.discovery);
         log::info() << "configuration read anew, discovery " << (moved ? "now" : "still") << " at "
-                    << fresh.discovery.text;
-        for (const auto& part : config::needRestart(running_, fresh))
-            log::warning() << "configuration: the new " << part << " holds from the next start on";
+                    << newConfig.discovery.text;
+        for (const auto& section : config::needRestart(running_, newConfig))
+            log::warning() << "configuration: the new " << section << " takes effect at the next start";
     } catch (const std::exception& e) {
         const auto now = Steady::now();
-        const bool again = now + kRetryPause < retryUntil_;
-        if (again) retryAt_ = now + kRetryPause;
-        if (first || !again)
-            log::error() << "the new configuration is not taken over" << (again ? " yet: " : ": ")
+        const bool willRetry = now + kRetryPause < retryUntil_;
+        if (willRetry) retryAt_ = now + kRetryPause;
+        if (firstTry || !willRetry)
+            log::error() << "the new configuration is not taken over" << (willRetry ? " yet: " : ": ")
                          << e.what();
     }
 }
--- a/src/serve/reloader.hpp
+++ b/src/serve/reloader.hpp
@@ -1,5 +1,5 @@
-// Reads the configuration anew while the sender runs. A file that can't be read is read again for a while:
-// the signal may come while it is being written.
+// Reloads the configuration while the sender runs. Only the address of discovery takes effect at once; other
+// changes need a restart, and are logged.
 #pragma once
 
 #include <chrono>
@@ -12,15 +12,18 @@
 
 using Steady = std::chrono::steady_clock;
 
+/// A file that cannot be read or is invalid is read again for 3 s, because the signal may arrive while the
+/// file is being written. Not thread-safe; the caller waits until retryAt() and then calls readConfig().
 class Reloader {
   public:
     Reloader(const config::Config& running, discovery::Discovery& discovery)
         : running_(running), discovery_(discovery) {}
-    /// A signal asks for it.
+    /// Starts a reload, as SIGHUP asks for: reads the configuration and, if that fails, schedules a retry.
     void reload();
-    /// When the file is to be read once more; nothing where it need not be.
+    /// The time of the next retry; empty if none is scheduled.
     std::optional<Steady::time_point> retryAt() const { return retryAt_; }
-    /// Reads it. One that is bad changes nothing.
+    /// Reads the configuration and applies it. An invalid one changes nothing, and is logged on the first
+    /// failure and on the last.
     void readConfig();
 
   private:
