--- a/src/delivery/delivery.cpp
+++ b/src/delivery/delivery.cpp
@@ -15,18 +15,20 @@
 using decisions::DueAttempt;
 using std::chrono::milliseconds;
 
-// An answer comes in one piece, or nearly: what has not come so long after its first byte never will.
+// Responses arrive in one piece, or nearly: the rest of one that takes longer than this after its first byte
+// is not expected any more.
 constexpr milliseconds kResponseRemainderTimeout{250};
-// A kept connection that breaks so soon after a request was written to it had been closed, or dropped by
-// something on the way, before the request came (RFC 9112, 9.3.1). Danger: where partners do that often,
-// three on end look like an outage, and a partner that is well is eased in for a whole warm-up, on the day of
-// the highest load. An endpoint that died is seen all the same: the next call needs a new connection.
+// A reused connection that breaks within this time after a request was written to it had been closed by the
+// endpoint, or dropped by a device on the way, before the request arrived (RFC 9112, 9.3.1). Where endpoints
+// often do that, three such resets in a row would look like an outage, and a healthy destination would go
+// through a whole warm-up under peak load; so they are marked as stale. An endpoint that has died is still
+// detected, because the next attempt needs a new connection.
 constexpr milliseconds kStaleConnectionWindow{25};
-constexpr std::size_t kMaxResponseBytes =
-    128 * 1024;  // more bytes than any answer has, 1xx ones before it included
+constexpr std::size_t kMaxResponseBytes = 128 * 1024;  // larger than any response with its 1xx responses
 
-std::optional<double> loadField(std::string_view report, std::string_view name) {
-    for (const auto part : http::split(report, ",")) {
+/// Returns a numeric field of the Srv-Load header ("name=value,...").
+std::optional<double> loadField(std::string_view header, std::string_view name) {
+    for (const auto part : http::split(header, ",")) {
         const auto equals = part.find('=');
         if (equals != std::string_view::npos && part.substr(0, equals) == name)
             return http::parseDecimal(part.substr(equals + 1));
@@ -36,16 +38,17 @@
 
 }  // namespace
 
-AttemptResult interpretResponse(const http::Message& answer) {
+AttemptResult interpretResponse(const http::Message& response) {
     AttemptResult result;
-    const auto& headers = answer.headers;
-    switch (answer.status) {
+    const auto& headers = response.headers;
+    switch (response.status) {
         case 200: result.status = AttemptStatus::delivered; break;
         case 429: result.status = AttemptStatus::rejected; break;
         case 503: {
-            // All slots of this sender were taken: that says nothing about the partner.
-            const auto* ours = headers.find("X-Egress-Full");
-            result.status = ours && *ours == "1" ? AttemptStatus::notForwarded : AttemptStatus::rejected;
+            // All slots of this sender were in use: that says nothing about the destination.
+            const auto* egressFull = headers.find("X-Egress-Full");
+            result.status =
+                egressFull && *egressFull == "1" ? AttemptStatus::notForwarded : AttemptStatus::rejected;
             break;
         }
         case 504: result.status = AttemptStatus::notForwarded; break;
@@ -55,22 +58,23 @@
             break;
         default:
             result.status = AttemptStatus::error;
-            // One of ours never says that it does not know such a message: the address is somebody else's.
-            result.unexpectedServer = answer.status >= 400 && answer.status < 500 && answer.status != 408;
+            // The destination's endpoints never reject a request as unknown: another server has the address.
+            result.unexpectedServer =
+                response.status >= 400 && response.status < 500 && response.status != 408;
     }
     if (result.status == AttemptStatus::rejected) {
         if (const auto* wait = headers.find("Retry-After")) {
             const auto seconds = http::parseDecimal(*wait);
             if (seconds)
                 result.wait = std::chrono::nanoseconds(static_cast<long>(std::min(*seconds, 3600.0) * 1e9));
-            else log::warning() << "skipped a Retry-After that is no number";
+            else log::warning() << "ignored a Retry-After header that is not a number";
         }
     }
     if (const auto* load = headers.find("Srv-Load")) {
         result.allowanceLeft = loadField(*load, "x0");
         result.allowedRate = loadField(*load, "x1");
         if (!result.allowanceLeft && !result.allowedRate)
-            log::warning() << "skipped a Srv-Load that can't be read";
+            log::warning() << "ignored a Srv-Load header without a valid x0 or x1 field";
     }
     return result;
 }
@@ -88,11 +92,11 @@
     for (std::size_t i = 0; i < config::shares(config_).calls; ++i)
         threads_.emplace_back("call", [this] {
             while (const auto dueAttempt = decisions_.takeDueAttempt()) {
-                const auto begun = net::Steady::now();
+                const auto startedAt = net::Steady::now();
                 const AttemptResult result = deliver(*dueAttempt);
-                const auto took =
-                    std::chrono::duration_cast<milliseconds>(net::Steady::now() - begun).count();
-                (log::debug() << "call ended")
+                const auto tookMs =
+                    std::chrono::duration_cast<milliseconds>(net::Steady::now() - startedAt).count();
+                (log::debug() << "attempt ended")
                     .kv("id", dueAttempt->id)
                     .kv("call", dueAttempt->attempt + 1)
                     .kv("endpoint", dueAttempt->endpoint)
@@ -101,7 +105,7 @@
                     .kv("wait_ms", result.wait.count() / 1000000)
                     .kv("left", result.allowanceLeft.value_or(-1))
                     .kv("limit", result.allowedRate.value_or(-1))
-                    .kv("took_ms", took);
+                    .kv("took_ms", tookMs);
                 decisions_.recordResult(*dueAttempt, result);
             }
         });
@@ -121,17 +125,18 @@
         bool keep = false;
         if (!reused) fd = net::tcpSocket();
         if (!fd)
-            return AttemptResult{AttemptStatus::unsent, false, {}, {}, {}};  // no descriptor is to be had
+            return AttemptResult{AttemptStatus::unsent, false, {}, {}, {}};  // no file descriptor is free
         const AttemptResult result = sendRequest(dueAttempt, *address, fd.get(), reused, keep);
-        // Only now, when no call-off can shut it any more, may another call have the connection.
+        // The connection is released only here, where a cancellation of this attempt can't shut it any more.
         if (keep) idleConnections_.release(dueAttempt.endpoint, dueAttempt.address, std::move(fd));
         fd.reset();
-        // Before the last byte the endpoint has not begun: a warm connection found dead is no failure yet.
+        // An endpoint starts on a request only after its last byte: a reused connection that broke before
+        // that is no failure, and the request is sent again on a new one.
         if (!reused || result.status != AttemptStatus::noConnection ||
             dueAttempt.cancelToken.stop_requested())
             return result;
-        // Danger: the new connection may take long, and a kill meanwhile would leave an attempt that never
-        // left on record as one that may have run.
+        // Connecting may take long. If the process were killed meanwhile, the attempt, which has not been
+        // sent, would stand in the journal as one that may have run.
         decisions_.attemptNotSent(dueAttempt);
     }
 }
@@ -143,32 +148,33 @@
     const auto until = std::min(dueAttempt.tryUntil, net::Steady::now() + config_.settings.connectTimeout);
     const auto start = reused ? net::ConnectStart::started : net::beginConnect(fd, address);
     if (start == net::ConnectStart::localFailure) {
-        log::debug() << "call " << dueAttempt.id << ": no connect can begin: " << std::strerror(errno);
+        log::debug() << "attempt for message " << dueAttempt.id
+                     << ": connect failed locally: " << std::strerror(errno);
         return endedWith(AttemptStatus::unsent);
     }
     const bool begun = start == net::ConnectStart::started;
-    // Danger: set up before the connect has begun, this would shut nothing, and a connect to a silent address
-    // would outlast a planned stop.
+    // Set up after the connect has begun: shutting a socket before that has no effect, and a connect to an
+    // address that does not respond would delay a planned stop.
     const std::stop_callback shutOnCancel(dueAttempt.cancelToken, [fd] { net::shutdownBoth(fd); });
     if (!reused && !(begun && net::finishConnect(fd, until)))
         return endedWith(dueAttempt.cancelToken.stop_requested() ? AttemptStatus::unsent
                                                                  : AttemptStatus::noConnection);
-    // What came meanwhile on a connection that stood idle belongs to an earlier call. Looked at before the
-    // attempt is on record, or one that surely never left would be; and again after, as that may have taken
-    // its time.
+    // Bytes that arrived on an idle connection belong to an earlier request. Checked before the attempt is
+    // recorded, so that an attempt that was never sent is not recorded, and again after it, as recording may
+    // have taken long.
     if (reused && !net::isIdle(fd)) return endedWith(AttemptStatus::noConnection);
     if (!decisions_.tryBeginAttempt(dueAttempt)) {
         keep = !dueAttempt.cancelToken.stop_requested();
         return endedWith(AttemptStatus::unsent);
     }
     if (reused && !net::isIdle(fd)) return endedWith(AttemptStatus::noConnection);
-    const auto left = std::chrono::ceil<milliseconds>(dueAttempt.tryUntil - net::Steady::now()).count();
+    const auto leftMs = std::chrono::ceil<milliseconds>(dueAttempt.tryUntil - net::Steady::now()).count();
     http::Fields fields{{"Req-Id", dueAttempt.id},
-                        {"Req-Deadline-Ms", std::to_string(std::max<long>(left, 1))}};
+                        {"Req-Deadline-Ms", std::to_string(std::max<long>(leftMs, 1))}};
     if (!dueAttempt.key.empty()) fields.emplace_back("Idempotency-Key", dueAttempt.key);
-    const auto bytes = http::formatRequest("POST", "/hook", dueAttempt.address, fields, *dueAttempt.body);
+    const auto request = http::formatRequest("POST", "/hook", dueAttempt.address, fields, *dueAttempt.body);
     const auto firstByteAt = net::Steady::now();
-    if (net::sendAll(fd, bytes, dueAttempt.tryUntil) != net::IoResult::done)
+    if (net::sendAll(fd, request, dueAttempt.tryUntil) != net::IoResult::done)
         return endedWith(AttemptStatus::noConnection);
     const auto sentAt = net::Steady::now();
     decisions_.recordSent(dueAttempt, firstByteAt);
@@ -178,10 +184,11 @@
     return result;
 }
 
-// Danger: an answer may be spoilt: noise, a head that can't be read or never ends, a length that does not
-// fit, a body that keeps coming. The request has run then, and the connection, open as it may be, would give
-// the next call the rest of this answer. So: what has begun must end soon, in few bytes; where it does not,
-// the first line decides alone, and the connection goes. A 200 there is a delivery whatever follows it.
+// A response may be malformed: noise, a head that can't be parsed or never ends, a wrong length, an endless
+// body. The request has run by then, and a connection left open would give the rest of this response to the
+// next request. So a response must end within kResponseRemainderTimeout of its first byte and within
+// kMaxResponseBytes; otherwise its status line alone decides and the connection is closed. A status of 200
+// counts as delivered whatever follows it.
 AttemptResult Delivery::receiveResponse(const DueAttempt& dueAttempt, int fd, bool& keep) {
     using State = http::Parser::State;
     http::Parser parser(http::Parser::Role::response);
@@ -190,12 +197,12 @@
     std::size_t bytes = 0;
     bool begun = false;
     while (parser.state() != State::complete && parser.state() != State::bad && bytes < kMaxResponseBytes) {
-        std::string got;
-        io = net::receive(fd, got, until);
+        std::string received;
+        io = net::receive(fd, received, until);
         if (io != net::IoResult::done) break;
-        bytes += got.size();
-        parser.feed(got);
-        // 1xx answers say nothing yet; the answer proper may still take its time.
+        bytes += received.size();
+        parser.feed(received);
+        // 1xx responses are interim; the final response may still take until the end of the attempt.
         while (parser.state() == State::complete && parser.message().status < 200) parser.next();
         if (!begun && parser.begun()) until = std::min(until, net::Steady::now() + kResponseRemainderTimeout);
         begun = parser.begun();
@@ -203,7 +210,7 @@
     }
     const auto endedWith = [](AttemptStatus status) { return AttemptResult{status, false, {}, {}, {}}; };
     keep = parser.state() == State::complete && parser.message().keepsAlive() && parser.leftover() == 0;
-    // A body without a length, or one that would go on to the connection's end: the head is all that counts.
+    // Without a length the body would last until the connection closes; only the head matters.
     if (parser.state() == State::complete || parser.finish() == State::complete)
         return interpretResponse(parser.message());
     if (parser.message().status == 200) return endedWith(AttemptStatus::delivered);
@@ -211,7 +218,7 @@
     if (!begun)
         return endedWith(io == net::IoResult::timedOut ? AttemptStatus::timedOut : AttemptStatus::reset);
     if (io == net::IoResult::closed || io == net::IoResult::broken) return endedWith(AttemptStatus::reset);
-    log::info() << "an answer of " << dueAttempt.endpoint << " can't be read";
+    log::info() << "malformed response from endpoint " << dueAttempt.endpoint;
     return endedWith(AttemptStatus::error);
 }
 
--- a/src/delivery/delivery.hpp
+++ b/src/delivery/delivery.hpp
@@ -1,4 +1,5 @@
-// Calls to the endpoints: one worker for each slot, idle connections kept between calls.
+// Sends due attempts to the endpoints over HTTP: one worker thread per slot, with idle connections kept open
+// between requests.
 #pragma once
 
 #include <vector>
@@ -11,20 +12,23 @@
 
 namespace laurelhaven::delivery {
 
-/// What an endpoint's answer means, by the protocol's table.
-decisions::AttemptResult interpretResponse(const http::Message& answer);
+/// Translates an endpoint's response into the result of the attempt, by status and headers.
+decisions::AttemptResult interpretResponse(const http::Message& response);
 
+/// Thread pool that takes due attempts from `decisions`, sends them and reports the results. start() and
+/// stop() are called by one thread; closeIdleConnections() may be called by any.
 class Delivery {
   public:
     Delivery(const config::Config& config, decisions::Decisions& decisions);
     ~Delivery() { stop(); }
     void start();
-    /// The workers return once the facade gives out no more calls.
+    /// Waits for the workers, which return once `decisions` has no more attempts to give out.
     void stop();
     void closeIdleConnections(const std::string& endpoint) { idleConnections_.closeEndpoint(endpoint); }
 
   private:
     decisions::AttemptResult deliver(const decisions::DueAttempt& dueAttempt);
+    /// Makes one try on the connection `fd`. `keep`: set if the connection can carry another request.
     decisions::AttemptResult sendRequest(const decisions::DueAttempt& dueAttempt, const net::Address& address,
                                          int fd, bool reused, bool& keep);
     decisions::AttemptResult receiveResponse(const decisions::DueAttempt& dueAttempt, int fd, bool& keep);
--- a/src/delivery/idle.cpp
+++ b/src/delivery/idle.cpp
@@ -13,7 +13,7 @@
         net::Fd fd = std::move(it->fd);
         const bool fresh = now < it->expiresAt;
         it = entries_.erase(it);
-        // An endpoint that died or closed has reset it: a request on it would end as a reset.
+        // A connection that the endpoint has closed or reset would end the next request as a reset.
         if (fresh && net::isIdle(fd.get())) return fd;
     }
     return {};
@@ -42,7 +42,7 @@
             changed_.wait(lock);
             continue;
         }
-        // A copy: wait_until reads the time again after it, when take() may have freed the entry.
+        // A copy: wait_until() reads the time again after waiting, when acquire() may have freed the entry.
         const auto next = entries_.front().expiresAt;
         changed_.wait_until(lock, next);
     }
--- a/src/delivery/idle.hpp
+++ b/src/delivery/idle.hpp
@@ -1,4 +1,4 @@
-// Connections that stand idle, by endpoint and address.
+// Pool of idle keep-alive connections, by endpoint and address.
 #pragma once
 
 #include <chrono>
@@ -11,28 +11,33 @@
 
 namespace laurelhaven::delivery {
 
-// A connection is shut well before the endpoint's idle time ends: a request that crosses its close is a
-// reset.
+/// Share of the endpoint's keep-alive time after which an idle connection is closed. A request that is sent
+/// while the endpoint closes the connection ends as a reset.
 constexpr double kKeepAliveShare = 0.9;
-constexpr std::chrono::milliseconds kReuseDelay{10};  ///< before it carries another call; see Idle
+constexpr std::chrono::milliseconds kReuseDelay{10};  ///< before the next request; see IdleConnections
 
-// Danger: an endpoint goes and another takes over its address. What was connected to the first must not carry
-// calls to the second, so the endpoint's id counts, not the address alone.
-// Danger: a second copy of an answer may come right behind it, and would be taken for the answer to the next
-// call; that call's own answer would go to the one after it, and so on. So a connection rests first, and is
-// used again only if nothing has come meanwhile.
+/// Pool of idle connections. Thread-safe.
+///
+/// Connections are found by endpoint id and address: a new endpoint may take over the address of one that has
+/// gone, and connections to the old endpoint must not carry requests to the new one.
+///
+/// A duplicate of a response may arrive right after it, and would be taken for the response to the next
+/// request, whose own response would then go to the request after it, and so on. So a connection is reused
+/// only after a delay, and only if nothing has been received on it in the meantime.
 class IdleConnections {
   public:
-    /// A connection rests for `rest` before it is used again, and is kept for `keep`.
+    /// A connection may be reused from `reuseDelay` after its release, and is closed after `keepAlive`.
+    /// Beyond `maxConnections`, the connection that has been idle longest is closed.
     IdleConnections(std::chrono::nanoseconds reuseDelay, std::chrono::nanoseconds keepAlive,
                     std::size_t maxConnections)
         : reuseDelay_(reuseDelay), keepAlive_(keepAlive), maxConnections_(maxConnections) {}
-    /// The one used last that has rested, still open as far as can be seen; or empty.
+    /// Returns the most recently used connection whose reuse delay has passed and that has neither been
+    /// closed by the endpoint nor received anything; empty if there is none.
     net::Fd acquire(const std::string& endpoint, const std::string& address);
     void release(const std::string& endpoint, const std::string& address, net::Fd fd);
-    /// Closes those to the endpoint.
+    /// Closes all idle connections to the endpoint.
     void closeEndpoint(const std::string& endpoint);
-    /// Closes each connection when it has stood idle for its time; returns once stopped.
+    /// Closes each connection when its keep-alive time has passed. Returns after stop().
     void runExpiry();
     void stop();
 
@@ -46,7 +51,7 @@
     std::size_t maxConnections_;
     std::mutex mutex_;
     std::condition_variable changed_;
-    std::list<Entry> entries_;  // the one that stood longest first
+    std::list<Entry> entries_;  // longest idle first
     bool stopped_ = false;
 };
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -19,33 +19,35 @@
 using std::chrono::milliseconds;
 
 constexpr int kBacklog = 512;
-constexpr milliseconds kListenRetryTimeout{8000};  // for a socket, where the machine has none at the start
-constexpr std::size_t kMaxClosingConnections =
-    16;  // connections beyond the most, while those told to go are going
-// A client waits 400 ms: what is not whole by then never will be. Whoever sends less, or byte by byte, is
-// answered or shut this long after connecting, or after its next request's first byte.
+constexpr milliseconds kListenRetryTimeout{8000};   // where no socket is available at the start
+constexpr std::size_t kMaxClosingConnections = 16;  // allowed beyond the limit while they close
+// Clients give up after 400 ms, so a request that is incomplete by then stays incomplete. A client that sends
+// part of a request, or sends it byte by byte, is answered or closed this long after it connected, or after
+// the first byte of a later request.
 constexpr milliseconds kReadTimeout{2000};
 constexpr milliseconds kWriteTimeout{1000};
-constexpr milliseconds kRejectWriteTimeout{5};  // an empty buffer takes an answer at once
+constexpr milliseconds kRejectWriteTimeout{5};  // an empty send buffer takes the response at once
 constexpr milliseconds kIdleTimeout{10000};
-constexpr milliseconds kAcceptQueueTimeout{400};  // for what a listener has in its queue at a stop
-constexpr milliseconds kLastRequestTimeout{300};  // for a last request, or the rest of one, at a stop
-constexpr milliseconds kRetryPause{20};           // between tries where no descriptor or thread is to be had
-// After the last answer, so long and so much is dropped: a close with bytes unread would reset it away.
+constexpr milliseconds kAcceptQueueTimeout{400};  // at a stop, for connections still in the listen queue
+constexpr milliseconds kLastRequestTimeout{300};  // at a stop, for a last request or the rest of one
+constexpr milliseconds kRetryPause{20};           // where descriptors, memory or connection slots are short
+// Limits for input discarded after the last response: closing with unread bytes would reset the connection
+// and lose the response.
 constexpr milliseconds kDrainTimeout{1000};
 constexpr std::size_t kMaxDrainedBytes = 80 << 20;
-constexpr const char* kRetryAfterSeconds = "0.3";  // seconds, for whoever found no room or a stop
+constexpr const char* kRetryAfterSeconds = "0.3";  // where connections are short, or at a stop
 
-std::string seconds(milliseconds span) {
+/// Formats a Retry-After value in seconds, with decimals.
+std::string formatSeconds(milliseconds span) {
     char text[32];
     std::snprintf(text, sizeof text, "%.3f", static_cast<double>(span.count()) / 1000);
     return text;
 }
 
-/// The statuses that there are, each a counter.
+/// Counts a response, with one counter per status.
 void countAnswer(int status) { metrics::counter("answers_total", "status", std::to_string(status)).add(); }
 
-/// No room: told so at once, without a thread, and never waited for.
+/// Answers 503 for lack of capacity, without a thread of its own and without waiting for the client.
 void rejectConnection(const net::Fd& fd) {
     static auto& rejectedConnections = metrics::counter("connections_turned_away_total");
     rejectedConnections.add();
@@ -69,10 +71,11 @@
     acceptor_ = threads::Thread("accept", [this] { accept(); });
 }
 
-// Danger: a request whose last byte is written must be answered, or its connection have been told to end by
-// the answer before. A shut listener resets what stands in its queue, so that is taken first, and served like
-// any other. Clients send on whatever stays open, so those told before that it stays get the time to send
-// once more, and hear then that it ends. What is shut in the end has said nothing since.
+// A request that a client has sent completely must be answered, unless the response before it announced that
+// the connection closes. Shutting a listener resets the connections in its queue, so these are accepted first
+// and served like any other. Clients reuse connections that were kept open, so these get kLastRequestTimeout
+// for one more request, whose response announces the close. Connections closed after that have sent nothing
+// since.
 void HttpServer::stop() {
     std::unique_lock lock(mutex_);
     if (stopping_.exchange(true)) return;
@@ -115,15 +118,15 @@
         if (fd) {
             admit(std::move(fd));
             if (stopping_) changed_.notify_all();
-        } else if (acceptStopped_) {  // and no sooner: a stop takes what stands in the queue first
+        } else if (acceptStopped_) {  // checked only after a failure: a stop first empties the listen queue
             return;
         } else if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-            log::warning() << "front: accept: " << std::strerror(errno);
+            log::warning() << "accepting a client connection failed: " << std::strerror(errno);
             std::unique_lock lock(mutex_);
             closeOneConnection(rules::CloseScope::all);
             changed_.wait_for(lock, kRetryPause, [this] { return acceptStopped_.load(); });
         } else if (errno != EINTR && errno != ECONNABORTED) {
-            log::warning() << "front: accept: " << std::strerror(errno);
+            log::warning() << "accepting a client connection failed: " << std::strerror(errno);
             std::this_thread::sleep_for(kRetryPause);
         }
     }
@@ -132,8 +135,7 @@
 void HttpServer::admit(net::Fd fd) {
     std::unique_lock lock(mutex_);
     removeClosed(lock);
-    if (connections_.size() >=
-        maxConnections_ + kMaxClosingConnections) {  // those told to go have not gone yet
+    if (connections_.size() >= maxConnections_ + kMaxClosingConnections) {  // closing ones not closed yet
         changed_.wait_for(lock, kRetryPause);
         removeClosed(lock);
     }
@@ -142,8 +144,8 @@
     const auto openCount = connections_.size() - closingCount;
     const bool room = connections_.size() < maxConnections_ + kMaxClosingConnections &&
                       (openCount < maxConnections_ || closeOneConnection(rules::CloseScope::all));
-    // Danger: clients that ask once and keep their connection add up, and with each goes a thread whose stack
-    // stays in memory. Long before room is short, those that have rested make way one by one.
+    // Clients that send one request and keep their connection add up, each with a thread whose stack stays in
+    // memory. From a quarter of the limit on, each new connection closes one that has been idle for long.
     if (openCount < maxConnections_ && openCount >= maxConnections_ / 4)
         closeOneConnection(rules::CloseScope::longIdle);
     if (!room) {
@@ -156,13 +158,13 @@
     try {
         c.thread = threads::Thread("client", [this, &c] { serve(c); });
     } catch (const std::exception& e) {
-        log::error() << "front: " << e.what();
+        log::error() << "starting a client connection's thread failed: " << e.what();
         rejectConnection(c.fd);
         connections_.pop_back();
     }
 }
 
-/// Tells the one connection to go that may best be done without: see rules::closePriority().
+/// Asks the connection with the highest rules::closePriority() to close. Returns false if none may be closed.
 bool HttpServer::closeOneConnection(rules::CloseScope scope) {
     using Phase = Connection::Phase;
     const auto now = net::Steady::now();
@@ -176,7 +178,7 @@
         if (candidate && std::make_pair(candidatePriority, candidate->since) <=
                              std::make_pair(priority(*candidate), c.since))
             continue;
-        // Bytes that its thread has not come to yet may be a whole request.
+        // Bytes that its thread has not read yet may be a complete request.
         if (c.phase != Phase::draining && net::unreadState(c.fd.get()) == net::UnreadState::bytes) continue;
         candidate = &c;
     }
@@ -187,7 +189,8 @@
     return true;
 }
 
-/// Wakes its thread, which answers what has come whole and ends. With the lock held.
+/// Wakes the connection's thread, which answers a request already received completely and ends. Requires the
+/// lock.
 void HttpServer::askToClose(Connection& connection) {
     connection.askedToClose = true;
     net::shutdownRead(connection.fd.get());
@@ -210,7 +213,7 @@
     const std::lock_guard lock(mutex_);
     connection.phase = phase;
     connection.since = net::Steady::now();
-    // Danger: its last answer may have taken so long that the stop has passed it by.
+    // Its last response may have taken so long that the stop has already gone through all connections.
     if (phase == Connection::Phase::idle && closingIdle_) askToClose(connection);
     if (phase == Connection::Phase::closed) {
         connection.fd.reset();
@@ -245,14 +248,15 @@
     return connection.askedToClose;
 }
 
-/// The connection ends without an answer, for that reason.
+/// Counts and logs a connection that is closed without a response.
 HttpServer::NextStep HttpServer::closeWithoutResponse(std::string_view reason) {
     metrics::counter("connections_closed_total", "reason", reason).add();
-    log::debug() << "front: closing without an answer: " << reason;
+    log::debug() << "closing client connection without a response: " << reason;
     return NextStep::close;
 }
 
-/// One whole request, and nothing behind it. `came`: when it began; a first one is timed from the connect on.
+/// Reads one complete request with nothing after it. `receivedAt`: in, the time of connecting, from which the
+/// first request's time limit counts; out, the time at which the request began to arrive.
 HttpServer::NextStep HttpServer::readRequest(Connection& connection, http::Parser& parser,
                                              net::Deadline& receivedAt, bool first) {
     using State = http::Parser::State;
@@ -263,13 +267,14 @@
     const auto until = (first ? receivedAt : net::Steady::now()) + kReadTimeout;
     receivedAt = net::Steady::now();
     setPhase(connection, Connection::Phase::reading);
-    const auto refuse = [&](int status, const char* why) {
+    const auto refuse = [&](int status, const char* reason) {
         setPhase(connection, Connection::Phase::answering);
         const http::Fields retryFields{{"Retry-After", kRetryAfterSeconds}};
         countAnswer(status);
-        log::debug() << "front: " << status << ": " << std::string_view(why).substr(0, std::strlen(why) - 1);
+        log::debug() << "rejecting client request with status " << status << ": "
+                     << std::string_view(reason).substr(0, std::strlen(reason) - 1);
         const auto text =
-            http::formatResponse(status, status == 503 ? retryFields : http::Fields{}, why, false);
+            http::formatResponse(status, status == 503 ? retryFields : http::Fields{}, reason, false);
         const bool written =
             net::sendAll(fd, text, net::Steady::now() + kWriteTimeout) == net::IoResult::done;
         return written ? NextStep::drain : closeWithoutResponse("unwritten");
@@ -285,8 +290,8 @@
         std::string bytes;
         const auto io = net::receive(fd, bytes, until);
         if (io == net::IoResult::timedOut) return refuse(408, "the request took too long\n");
-        // Danger: we ended its reading, and its client may write the last byte just now. It would get no
-        // answer.
+        // This side ended reading, and the client may be writing the last byte of its request, which would
+        // otherwise get no response.
         if (io == net::IoResult::closed && (first || parser.begun()) && isAskedToClose(connection))
             return refuse(503, "no room, or stopping\n");
         if (io != net::IoResult::done) {
@@ -312,7 +317,7 @@
     bool keep = mayKeepAlive && request.keepsAlive();
     const auto until = net::Steady::now() + kWriteTimeout;
     const auto sendResponse = [&](int status, const http::Fields& fields, std::string_view body) {
-        keep = keep && !stopping_;  // asked last: a stop may have come since
+        keep = keep && !stopping_;  // checked last: a stop may have begun meanwhile
         countAnswer(status);
         const auto text = http::formatResponse(status, fields, request.method == "HEAD" ? "" : body, keep);
         if (net::sendAll(fd, text, until) != net::IoResult::done) return closeWithoutResponse("unwritten");
@@ -320,7 +325,7 @@
     };
     const auto query = interpretRequest(config_, request, receivedAt);
     if (const auto* denied = std::get_if<RequestError>(&query)) {
-        keep = false;  // who gets that wrong may get the next one's beginning wrong too
+        keep = false;  // the client may get the start of its next request wrong too
         return sendResponse(denied->status, {}, denied->message + "\n");
     }
     if (std::holds_alternative<MetricsQuery>(query))
@@ -329,18 +334,18 @@
     if (std::holds_alternative<ReadinessQuery>(query))
         return ready_ ? sendResponse(200, {}, "ready\n") : sendResponse(503, {}, "stopping\n");
     const auto& message = std::get<decisions::Submission>(query);
-    const auto verdict = decisions_.submit(message);
-    switch (verdict.kind) {
+    const auto result = decisions_.submit(message);
+    switch (result.kind) {
         case decisions::SubmissionResult::Kind::accepted: {
             const auto next = sendResponse(202, {}, "");
-            // The client closed the connection: it may hand the message in again, and this one counts for
-            // nothing.
+            // The client has closed the connection without the response and may submit the message again, so
+            // this submission is withdrawn.
             if (next == NextStep::close) decisions_.withdraw(message.id);
             return next;
         }
         case decisions::SubmissionResult::Kind::refused:
-            if (verdict.retryAfter.count() <= 0) return sendResponse(503, {}, "refused\n");
-            return sendResponse(503, {{"Retry-After", seconds(verdict.retryAfter)}}, "refused\n");
+            if (result.retryAfter.count() <= 0) return sendResponse(503, {}, "refused\n");
+            return sendResponse(503, {{"Retry-After", formatSeconds(result.retryAfter)}}, "refused\n");
         case decisions::SubmissionResult::Kind::failed: return sendResponse(500, {}, "failed\n");
         case decisions::SubmissionResult::Kind::conflict:
             return sendResponse(409, {}, "the id is another message's\n");
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -1,4 +1,4 @@
-// The clients' side: a listener and a thread for each connection, within the number that the limits leave.
+// HTTP server for clients: a listener, and one thread per connection within a fixed number of connections.
 #pragma once
 
 #include <atomic>
@@ -18,17 +18,19 @@
 
 namespace laurelhaven::front {
 
+/// Accepts client connections, interprets their requests and submits messages to `decisions`. start(), stop()
+/// and the setters are called by the owner's thread; connectionCount() may be called by any.
 class HttpServer {
   public:
-    /// Listens from here on; throws std::system_error where it can't.
+    /// Opens the listening socket. Throws std::system_error on failure.
     HttpServer(const config::Config& config, decisions::Decisions& decisions);
     ~HttpServer() { stop(); }
     void start();
-    /// From now on /health/ready answers 503; everything else goes on.
+    /// From now on /health/ready is answered with 503; all other requests are served as before.
     void setNotReady() { ready_ = false; }
-    /// What GET /metrics answers; nothing: 404. Set before start().
+    /// Sets the source of the response to GET /metrics; without one it is 404. Call before start().
     void setMetrics(std::function<std::string()> text) { metrics_ = std::move(text); }
-    /// No new connections; those open end after the request that they are in.
+    /// Accepts no new connections and closes each open one after its current request.
     void stop();
     std::size_t connectionCount();
     int port() const { return net::localPort(listener_.get()); }
@@ -38,11 +40,12 @@
         net::Fd fd;
         using Phase = rules::ConnectionPhase;
         Phase phase = Phase::fresh;
-        net::Deadline since;
-        bool askedToClose = false;
+        net::Deadline since;        ///< start of the phase
+        bool askedToClose = false;  ///< reading has been shut down
         threads::Thread thread;
     };
     using Connections = std::list<Connection>;
+    /// What a connection's thread does after a step.
     enum class NextStep { request, drain, close };
 
     void accept();
@@ -55,7 +58,7 @@
     NextStep readRequest(Connection& connection, http::Parser& parser, net::Deadline& receivedAt, bool first);
     void askToClose(Connection& connection);
     bool isAskedToClose(const Connection& connection);
-    /// `stays`: the connection may carry another request.
+    /// Responds to a request. `mayKeepAlive`: the connection may carry another request.
     NextStep respond(int fd, http::Message& request, net::Deadline receivedAt, bool mayKeepAlive);
 
     const config::Config& config_;
@@ -63,8 +66,8 @@
     net::Fd listener_;
     std::size_t maxConnections_;
     std::function<std::string()> metrics_;
-    /// stopping: answers say that the connection ends. deaf: nobody is let in any more. closing: whoever has
-    /// sent nothing since is shut.
+    /// stopping_: responses announce that the connection closes. acceptStopped_: no connection is accepted
+    /// any more. closingIdle_: connections that become idle are asked to close.
     std::atomic<bool> ready_{false}, stopping_{false}, acceptStopped_{false};
     bool closingIdle_ = false;
     std::mutex mutex_;
--- a/src/front/intake.cpp
+++ b/src/front/intake.cpp
@@ -9,7 +9,8 @@
 constexpr std::size_t kMaxNameLength = 200;
 constexpr unsigned long long kMaxDeadlineMs = 24ULL * 3600 * 1000;
 
-// Ids and keys go on into other messages and into JSON: visible ASCII without quotes, nothing to escape.
+// Ids and keys are copied into other messages and into JSON, so only visible ASCII that needs no escaping is
+// allowed.
 bool isPlainName(const std::string* text) {
     return text && !text->empty() && text->size() <= kMaxNameLength &&
            std::all_of(text->begin(), text->end(),
@@ -38,7 +39,7 @@
     for (const char* name :
          {"Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline-Ms", "X-Route-To", "Idempotency-Key"})
         if (headers.count(name) > 1) return RequestError{400, std::string(name) + " is given twice"};
-    // Without a length, what follows would be taken for another request.
+    // Without a length, the body would be taken for another request.
     if (!headers.find("Content-Length") && !headers.find("Transfer-Encoding"))
         return RequestError{411, "Content-Length is missing"};
     const auto* id = headers.find("Req-Id");
@@ -70,10 +71,10 @@
     message.destination = *destination;
     message.messageClass = static_cast<std::uint32_t>(messageClass);
     message.tenant = static_cast<std::uint32_t>(tenant);
-    // Nothing is held for longer than its class lasts, whatever its client says.
-    const auto longest =
+    // No message is held for longer than its class's time to live, whatever deadline the client gives.
+    const auto timeToLive =
         std::chrono::ceil<std::chrono::milliseconds>(config.settings.messageClasses[messageClass].timeToLive);
-    message.deadline = receivedAt + std::min(std::chrono::milliseconds(*ms), longest);
+    message.deadline = receivedAt + std::min(std::chrono::milliseconds(*ms), timeToLive);
     message.body = std::make_shared<const std::string>(std::move(request.body));
     return message;
 }
--- a/src/front/intake.hpp
+++ b/src/front/intake.hpp
@@ -1,5 +1,5 @@
-// What a client's request asks for, by the platform's protocol. Pure: a message in, a hand-in or a status
-// out.
+// Interprets clients' HTTP requests by the platform's protocol. Pure functions without state; safe to call
+// from any thread.
 #pragma once
 
 #include <string>
@@ -12,15 +12,17 @@
 
 namespace laurelhaven::front {
 
-struct ReadinessQuery {};  ///< asks whether the sender serves
-struct MetricsQuery {};    ///< asks for counters and gauges
-/// An answer that needs no decision.
+struct ReadinessQuery {};  ///< GET /health/ready
+struct MetricsQuery {};    ///< GET /metrics
+/// A request that is rejected before it reaches the sender: HTTP status and response body.
 struct RequestError {
     int status = 400;
     std::string message;
 };
 
-/// `came`: when the request's first byte did; the client's time runs from before then.
+/// Validates a request and translates it; a submission takes over the request's body. `receivedAt`: time at
+/// which the request's first byte arrived. The deadline counts from it; the client's own count began before
+/// that.
 std::variant<decisions::Submission, ReadinessQuery, MetricsQuery, RequestError> interpretRequest(
     const config::Config& config, http::Message& request, decisions::TimePoint receivedAt);
 
--- a/tests/delivery/local_failures_test.cpp
+++ b/tests/delivery/local_failures_test.cpp
@@ -1,5 +1,5 @@
-// What this machine lacks for a moment (a descriptor, a port, a route, a buffer) says nothing of a partner:
-// no attempt is used up, and no outage is seen.
+// A temporary shortage on this machine (of a descriptor, a port, a route or a buffer) says nothing about the
+// destination: it must neither use up an attempt nor count as an outage.
 #include <dlfcn.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -16,25 +16,25 @@
 
 namespace {
 
-std::atomic<int> connectsToFail{0}, socketsToFail{0}, failWith{0};
+std::atomic<int> connectsToFail{0}, socketsToFail{0}, errorToFailWith{0};
 
-bool fails(std::atomic<int>& left) {
-    if (left <= 0) return false;
-    --left;
-    errno = failWith;
+bool takeFailure(std::atomic<int>& remaining) {
+    if (remaining <= 0) return false;
+    --remaining;
+    errno = errorToFailWith;
     return true;
 }
 
 }  // namespace
 
-// In place of the C library's, for this program alone.
+// These replace the C library's functions in this program.
 extern "C" int connect(int fd, const sockaddr* to, socklen_t size) {
     static const auto real = reinterpret_cast<decltype(&connect)>(dlsym(RTLD_NEXT, "connect"));
-    return fails(connectsToFail) ? -1 : real(fd, to, size);
+    return takeFailure(connectsToFail) ? -1 : real(fd, to, size);
 }
 extern "C" int socket(int family, int type, int protocol) noexcept {
     static const auto real = reinterpret_cast<int (*)(int, int, int)>(dlsym(RTLD_NEXT, "socket"));
-    return fails(socketsToFail) ? -1 : real(family, type, protocol);
+    return takeFailure(socketsToFail) ? -1 : real(family, type, protocol);
 }
 
 namespace {
@@ -44,17 +44,17 @@
 
 struct Failure {
     const char* name;
-    std::atomic<int>* call;
+    std::atomic<int>* failuresLeft;
     int error;
-    bool ours;  ///< this machine's own, not the partner's
+    bool local;  ///< caused by this machine, not by the endpoint
 };
 
 class LocalFailures : public testing::TestWithParam<Failure> {};
 
-TEST_P(LocalFailures, SayNothingOfThePartner) {
+TEST_P(LocalFailures, AreNotAttributedToTheDestination) {
     log::setLevel(log::Level::off);
-    std::atomic<int> called{0};
-    Stub endpoint([&](http::Message&) { return ++called, answer(200); });
+    std::atomic<int> requests{0};
+    Stub endpoint([&](http::Message&) { return ++requests, answer(200); });
     const auto config = config::fromText(
         configuration("127.0.0.1:0", "127.0.0.1:1", entry("a", endpoint.at(), 7), settings()),
         {{"BALANCER_STATE", "/tmp"}});
@@ -62,47 +62,48 @@
     std::atomic<int> ended{0};
     decisions::Hooks hooks;
     hooks.messageEnded = [&](const store::PendingNotice&) { ++ended; };
-    decisions::Decisions facade(config, store, hooks);
-    facade.updateEndpoints(config.known, true);
-    failWith = GetParam().error;
-    *GetParam().call = 8;  // as many as a message may have attempts
-    delivery::Delivery delivery(config, facade);
+    decisions::Decisions decisions(config, store, hooks);
+    decisions.updateEndpoints(config.known, true);
+    errorToFailWith = GetParam().error;
+    *GetParam().failuresLeft = 8;  // as many attempts as a message may have
+    delivery::Delivery delivery(config, decisions);
     delivery.start();
     threads::Thread ticker("tick", [&] {
-        while (facade.tick()) {
+        while (decisions.tick()) {
         }
     });
     for (int i = 0; i < 3; ++i) {
         const auto id = "m" + std::to_string(i);
-        facade.submit(decisions::Submission{id, "key-" + id, 7, 0, 0,
-                                            decisions::Steady::now() + std::chrono::seconds(25),
-                                            std::make_shared<const std::string>("body")});
+        decisions.submit(decisions::Submission{id, "key-" + id, 7, 0, 0,
+                                               decisions::Steady::now() + std::chrono::seconds(25),
+                                               std::make_shared<const std::string>("body")});
     }
-    await([&] { return facade.heldMessages() == 0; });
-    EXPECT_EQ(called, 3);
+    await([&] { return decisions.heldMessages() == 0; });
+    EXPECT_EQ(requests, 3);
     EXPECT_EQ(ended, 0);
     bool outage = false;
-    for (const auto& standing : facade.destinationHealth())
-        outage = outage || standing.down || standing.sinceRecovery;
-    EXPECT_EQ(outage, !GetParam().ours);
-    facade.stop();
+    for (const auto& health : decisions.destinationHealth())
+        outage = outage || health.down || health.sinceRecovery;
+    EXPECT_EQ(outage, !GetParam().local);
+    decisions.stop();
     delivery.stop();
 }
 
-// An end has little time left: a machine that lacks a port for a moment does not make it late.
-TEST(LocalFailuresOfNotices, DoNotMakeAnEndLate) {
+// A notice is due within a short time of its message's end: a temporary lack of ports must not delay it.
+TEST(LocalFailuresOfNotices, DoNotDelayANotice) {
     log::setLevel(log::Level::off);
     Platform platform;
-    const discovery::Discovery place(*net::parseAddress(platform.stub.at()));
-    std::atomic<bool> heard{false};
-    notices::NoticeDispatcher notices(place, [&](const std::vector<std::string>&) { heard = true; });
-    failWith = EADDRNOTAVAIL;
+    const discovery::Discovery discovery(*net::parseAddress(platform.stub.at()));
+    std::atomic<bool> acknowledged{false};
+    notices::NoticeDispatcher notices(discovery,
+                                      [&](const std::vector<std::string>&) { acknowledged = true; });
+    errorToFailWith = EADDRNOTAVAIL;
     connectsToFail = 12;
-    const auto begun = net::Steady::now();
+    const auto startedAt = net::Steady::now();
     notices.start();
     notices.add({"m", store::FinalState::failed, 0});
-    await([&] { return heard.load(); });
-    EXPECT_LT(net::Steady::now() - begun, std::chrono::milliseconds(1500));
+    await([&] { return acknowledged.load(); });
+    EXPECT_LT(net::Steady::now() - startedAt, std::chrono::milliseconds(1500));
     notices.stop();
 }
 
--- a/tests/front/turn_away_test.cpp
+++ b/tests/front/turn_away_test.cpp
@@ -1,4 +1,5 @@
-// A client for whom there is no room is told so, also where the system interrupts the write or takes a part.
+// A client that is rejected for lack of capacity gets a 503, also when the write of the response is
+// interrupted by a signal or takes only a part of it.
 #include <dlfcn.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -17,82 +18,82 @@
 
 namespace {
 
-std::atomic<int> sendsToInterrupt{0}, sendsToCut{0};
+std::atomic<int> sendsToInterrupt{0}, sendsToShorten{0};
 
-bool take(std::atomic<int>& left) {
-    if (left <= 0) return false;
-    --left;
+bool takeOne(std::atomic<int>& remaining) {
+    if (remaining <= 0) return false;
+    --remaining;
     return true;
 }
 
 }  // namespace
 
-// In place of the C library's, for this program alone.
+// Replaces the C library's function in this program.
 extern "C" ssize_t send(int fd, const void* bytes, size_t size, int flags) {
     static const auto real = reinterpret_cast<decltype(&send)>(dlsym(RTLD_NEXT, "send"));
-    if (take(sendsToInterrupt)) {
+    if (takeOne(sendsToInterrupt)) {
         errno = EINTR;
         return -1;
     }
-    return real(fd, bytes, take(sendsToCut) ? 1 : size, flags);
+    return real(fd, bytes, takeOne(sendsToShorten) ? 1 : size, flags);
 }
 
 namespace {
 
 using namespace laurelhaven;
 
-constexpr int kSockets = 96;
+constexpr int kMaxSockets = 96;
 
-class TurnAway : public testing::Test {
+class RejectForCapacity : public testing::Test {
   protected:
-    TurnAway() {
+    RejectForCapacity() {
         log::setLevel(log::Level::off);
-        front_.start();
-        // All of them young: none makes way for a newcomer.
+        server_.start();
+        // All connections are too recent to be closed for a new one.
         for (std::size_t i = 0; i < config::shares(config_).clients; ++i) clients_.push_back(connect());
     }
-    ~TurnAway() override {
-        sendsToInterrupt = sendsToCut = 0;
+    ~RejectForCapacity() override {
+        sendsToInterrupt = sendsToShorten = 0;
         clients_.clear();
-        front_.stop();
-        facade_.stop();
+        server_.stop();
+        decisions_.stop();
     }
     net::Fd connect() {
         net::Fd fd = net::tcpSocket();
-        const auto at = net::parseAddress("127.0.0.1:" + std::to_string(front_.port()));
+        const auto at = net::parseAddress("127.0.0.1:" + std::to_string(server_.port()));
         EXPECT_TRUE(net::connectBy(fd.get(), *at, soon()));
         return fd;
     }
     static net::Deadline soon() { return net::Steady::now() + std::chrono::seconds(20); }
-    /// The status that a newcomer is told; 0 where it is shut without a word.
-    int statusOfANewcomer() {
+    /// Status of the response to a new connection; 0 if it is closed without one.
+    int statusOfNewConnection() {
         const auto fd = connect();
         http::Parser parser(http::Parser::Role::response);
-        for (std::string got; parser.state() != http::Parser::State::complete; got.clear()) {
-            if (net::receive(fd.get(), got, soon()) != net::IoResult::done) return 0;
-            parser.feed(got);
+        for (std::string received; parser.state() != http::Parser::State::complete; received.clear()) {
+            if (net::receive(fd.get(), received, soon()) != net::IoResult::done) return 0;
+            parser.feed(received);
         }
         return parser.message().status;
     }
 
     const config::Config config_ = config::fromText(
         check::configuration("127.0.0.1:0", "127.0.0.1:1", check::entry("a", "127.0.0.1:9", 7),
-                             check::settings(), kSockets),
+                             check::settings(), kMaxSockets),
         {{"BALANCER_STATE", "/tmp"}});
     check::NoStore store_;
-    decisions::Decisions facade_{config_, store_, {}};
-    front::HttpServer front_{config_, facade_};
+    decisions::Decisions decisions_{config_, store_, {}};
+    front::HttpServer server_{config_, decisions_};
     std::vector<net::Fd> clients_;
 };
 
-TEST_F(TurnAway, IsToldThoughTheWriteIsInterrupted) {
+TEST_F(RejectForCapacity, RespondsAlthoughTheWriteIsInterrupted) {
     sendsToInterrupt = 2;
-    EXPECT_EQ(statusOfANewcomer(), 503);
+    EXPECT_EQ(statusOfNewConnection(), 503);
 }
 
-TEST_F(TurnAway, IsToldThoughTheWriteTakesAPart) {
-    sendsToCut = 3;
-    EXPECT_EQ(statusOfANewcomer(), 503);
+TEST_F(RejectForCapacity, RespondsAlthoughTheWriteIsPartial) {
+    sendsToShorten = 3;
+    EXPECT_EQ(statusOfNewConnection(), 503);
 }
 
 }  // namespace
