--- a/src/delivery/delivery.cpp
+++ b/src/delivery/delivery.cpp
@@ -218,7 +218,7 @@
     if (!begun)
         return endedWith(io == net::IoResult::timedOut ? AttemptStatus::timedOut : AttemptStatus::reset);
     if (io == net::IoResult::closed || io == net::IoResult::broken) return endedWith(AttemptStatus::reset);
-    log::info() << "malformed response from endpoint " << dueAttempt.endpoint;
+    log::info() << "the response of endpoint " << dueAttempt.endpoint << " is malformed";
     return endedWith(AttemptStatus::error);
 }
 
